--- a/internal/interval/interval.go
+++ b/internal/interval/interval.go
@@ -1,8 +1,8 @@
-// Package interval waits and repeats until a context ends.
+// Package interval provides sleeps and periodic calls that end with a context.
 //
-// Its timers neither have channels nor are due at once. In a synctest bubble, go1.26 runs a timer that is due on the
-// goroutine that arms it or selects on it (runtime.(*timer).modify and maybeRunChan), with the race detector's context of
-// the bubble, which two threads then use at a time: the race detector crashes.
+// It uses no timers with channels and none with a duration of zero. In a synctest bubble, Go 1.26 runs a timer that is
+// due on the goroutine that starts it or selects on it (runtime.(*timer).modify and maybeRunChan). It does so with the
+// race detector's context of the bubble, which two threads can then use simultaneously, and the race detector crashes.
 package interval
 
 import (
@@ -10,12 +10,13 @@
 	"time"
 )
 
-// Every calls f at once and then at each interval until ctx ends.
+// Every calls f immediately and then at each interval d until ctx ends.
 func Every(ctx context.Context, d time.Duration, f func(ctx context.Context)) {
 	EveryOrWoken(ctx, d, nil, f)
 }
 
-// EveryOrWoken calls f at once and then at each interval, and sooner when something arrives on wake, until ctx ends.
+// EveryOrWoken calls f immediately and then at each interval d, or earlier when wake receives a value, until ctx
+// ends.
 func EveryOrWoken(ctx context.Context, d time.Duration, wake <-chan struct{}, f func(ctx context.Context)) {
 	for ctx.Err() == nil {
 		f(ctx)
@@ -23,25 +24,25 @@
 	}
 }
 
-// Sleep waits and reports whether it waited to the end.
+// Sleep waits for d and reports whether it did; false if ctx ended earlier.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	SleepOrWoken(ctx, d, nil)
 	return ctx.Err() == nil
 }
 
-// SleepOrWoken waits for d, until something arrives on wake, or until ctx ends.
+// SleepOrWoken waits for d, until wake receives a value, or until ctx ends.
 func SleepOrWoken(ctx context.Context, d time.Duration, wake <-chan struct{}) {
-	over, stop := After(d)
+	elapsed, stop := After(d)
 	defer stop()
 	select {
 	case <-ctx.Done():
-	case <-over:
+	case <-elapsed:
 	case <-wake:
 	}
 }
 
-// After returns a channel that receives once after d, and a function that releases the timer.
-func After(d time.Duration) (over <-chan struct{}, stop func()) {
+// After returns a channel that receives a value once after d, and a function that stops the timer.
+func After(d time.Duration) (elapsed <-chan struct{}, stop func()) {
 	c := make(chan struct{}, 1)
 	if d <= 0 {
 		c <- struct{}{}
--- a/internal/interval/interval_test.go
+++ b/internal/interval/interval_test.go
@@ -10,12 +10,12 @@
 )
 
 func TestAfterZeroIsDueWithoutATimer(t *testing.T) {
-	over, stop := After(0)
+	elapsed, stop := After(0)
 	defer stop()
 	select {
-	case <-over:
+	case <-elapsed:
 	default:
-		t.Fatal("not due at once")
+		t.Fatal("After(0) did not send immediately")
 	}
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,5 +1,5 @@
-// Package job is the life of a job as plain data and pure steps: what was handed in, what has become of each task, and
-// what an order, an end or a loss changes. It does no I/O and reads no clock.
+// Package job holds jobs and their progress as plain data: the accepted request, the state of each task, and the
+// methods that change the progress when a run is placed or ends. It does no I/O and reads no clock.
 package job
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// ID is the caller's name of a job.
+// ID is the name that the caller gave a job.
 type ID string
 
-// Resources are what a task asks for or a worker has.
+// Resources are the resources that a task requests or that a worker has.
 type Resources struct {
 	_            struct{} `cbor:",toarray"`
 	MilliCPU     int64    // Thousandths of a core.
@@ -22,7 +22,7 @@
 	Accelerators int64
 }
 
-// Add returns the sum.
+// Add returns the sum of r and o.
 func (r Resources) Add(o Resources) Resources {
 	r.MilliCPU += o.MilliCPU
 	r.MemoryMB += o.MemoryMB
@@ -30,7 +30,7 @@
 	return r
 }
 
-// Sub returns the difference.
+// Sub returns r less o.
 func (r Resources) Sub(o Resources) Resources {
 	r.MilliCPU -= o.MilliCPU
 	r.MemoryMB -= o.MemoryMB
@@ -43,66 +43,66 @@
 	return o.MilliCPU <= r.MilliCPU && o.MemoryMB <= r.MemoryMB && o.Accelerators <= r.Accelerators
 }
 
-// Cores is the use in cores, an accelerator counted as acceleratorCores.
+// Cores returns the resources in cores; an accelerator counts as coresPerAccelerator.
 func (r Resources) Cores() float64 {
-	return float64(r.MilliCPU)/1000 + acceleratorCores*float64(r.Accelerators)
+	return float64(r.MilliCPU)/1000 + coresPerAccelerator*float64(r.Accelerators)
 }
 
-// acceleratorCores is what an accelerator counts for in cores (the users' rules on prices).
-const acceleratorCores = 8
+// coresPerAccelerator is the price of an accelerator in cores, by the users' price rules.
+const coresPerAccelerator = 8
 
-// Step is a number of like tasks of a job.
+// Step is a set of identical tasks of a job.
 type Step struct {
 	_             struct{} `cbor:",toarray"`
 	Count         int
-	Each          Resources     // What every task asks for.
-	Estimate      time.Duration // The caller's guess at a task's run time; may be far off.
-	After         []int         // Steps whose tasks must all be done before.
-	Gang          bool          // The tasks run only all together.
-	RackLocal     bool          // A gang spread over racks is slower by the site's far factor.
-	Label         string        // A label that the worker must have; empty for any.
-	DataRack      string        // Elsewhere a task is slower by the site's far factor; empty for anywhere.
-	MostPerWorker int           // At most so many tasks of one occurrence on a worker; 0 for no limit.
-	Checkpoints   bool
-	Copies        bool // Copies of a task may run side by side.
-	Lasting       bool // Tasks run until the job is cancelled and are started again however they end.
-}
-
-// Schedule repeats the steps of a job; the zero value runs them once, at once.
+	Each          Resources     // Resources that each task requests.
+	Estimate      time.Duration // Run time of a task as the caller expects it; may be far off.
+	After         []int         // Indexes of the steps that must be finished before this one starts.
+	Gang          bool          // All tasks run at the same time or not at all.
+	RackLocal     bool          // A gang that spans racks is slowed down by the site's cross-rack factor.
+	Label         string        // Label that the worker must have; empty for any worker.
+	DataRack      string        // Rack with the data; elsewhere a task is slower by the cross-rack factor. Empty if none.
+	MostPerWorker int           // Maximum number of tasks of one occurrence on a worker; 0 for no limit.
+	Checkpoints   bool          // Tasks can save their state and continue from it.
+	Copies        bool          // A second copy of a task may run at the same time.
+	Lasting       bool          // Tasks run until the job is cancelled and are restarted whenever they end.
+}
+
+// Schedule repeats the steps of a job; with the zero value they run once, immediately.
 type Schedule struct {
-	_     struct{} `cbor:",toarray"`
-	Times int
-	First int64         // Unix time in milliseconds.
-	Every time.Duration // Between two occurrences.
+	_     struct{}      `cbor:",toarray"`
+	Times int           // Number of occurrences; 0 for a job without a schedule.
+	First int64         // Start of the first occurrence, Unix time in milliseconds.
+	Every time.Duration // Interval between two occurrences.
 }
 
-// Terms is what the queue promises a job; they are those in force when the job was accepted.
+// Terms are the queue's settings for a job, as they were when the job was accepted.
 type Terms struct {
 	_         struct{} `cbor:",toarray"`
 	Queue     string
 	Service   string
 	Workspace string
-	Priority  int     // 0 goes first.
-	Attempts  int     // Failed runs of a task, or of a gang, after which the job has failed.
-	Stretch   float64 // Times the longest chain of work that a job may take...
-	Objective time.Duration
+	Priority  int           // 0 is the highest priority.
+	Attempts  int           // Number of failed runs of a task or gang after which the job fails.
+	Stretch   float64       // Allowed duration of the job, as a multiple of its longest chain of dependent work.
+	Objective time.Duration // Time added to the allowed duration.
 }
 
-// Request is a job as it was handed in and accepted.
+// Request is a job as it was accepted.
 type Request struct {
 	_        struct{} `cbor:",toarray"`
 	ID       ID
 	Terms    Terms
-	Payload  string // What the tasks run; passed on as it is.
+	Payload  string // What the tasks run; passed to the workers unread.
 	Steps    []Step
 	Schedule Schedule
-	Accepted int64 // Unix time in milliseconds, by the accepting box.
+	Accepted int64 // Unix time in milliseconds, by the clock of the accepting box.
 }
 
-// Occurrences is how often the steps run.
+// Occurrences returns how often the steps run.
 func (r *Request) Occurrences() int { return max(r.Schedule.Times, 1) }
 
-// TasksPerOccurrence is the number of tasks of all steps.
+// TasksPerOccurrence returns the number of tasks of all steps.
 func (r *Request) TasksPerOccurrence() int {
 	n := 0
 	for i := range r.Steps {
@@ -111,7 +111,7 @@
 	return n
 }
 
-// Due is the Unix time in milliseconds at which an occurrence may start.
+// Due returns the Unix time in milliseconds from which an occurrence may start.
 func (r *Request) Due(occurrence int) int64 {
 	if r.Schedule.Times == 0 {
 		return r.Accepted
@@ -119,13 +119,14 @@
 	return r.Schedule.First + int64(occurrence)*r.Schedule.Every.Milliseconds()
 }
 
-// MaxTasks bounds the tasks of a job, so that its progress fits into one row of the store (64 KiB, about 40 bytes a task).
+// MaxTasks is the maximum number of tasks of a job. Its progress must fit into one row of the store: 64 KiB, at
+// about 40 bytes a task.
 const MaxTasks = 1200
 
-// maxSteps bounds the steps of a job.
+// maxSteps is the maximum number of steps of a job.
 const maxSteps = 64
 
-// Validate reports the first thing that makes a request impossible to carry out.
+// Validate returns an error for the first thing in the request that makes it impossible to run, or nil.
 func (r *Request) Validate() error {
 	if len(r.Steps) == 0 || len(r.Steps) > maxSteps {
 		return errors.Errorf("job: %d steps, want 1 to %d", len(r.Steps), maxSteps)
@@ -159,18 +160,18 @@
 	return nil
 }
 
-// Task names one task of a job.
+// Task identifies a task of a job.
 type Task struct {
 	Job                     ID
 	Occurrence, Step, Index int
 }
 
-// String returns the name that workers know the task by.
+// String returns the name under which workers know the task.
 func (t Task) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// ParseTask reads a task's name.
+// ParseTask parses a task name as String returns it.
 func ParseTask(name string) (Task, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/internal/job/life.go
+++ b/internal/job/life.go
@@ -2,68 +2,68 @@
 
 import "github.com/pulleyring/pulleyring/internal/life"
 
-// Life is a job with its progress. Its methods are the only code that changes progress.
+// Life holds a job and its progress. All changes of the progress go through its methods.
 type Life struct {
-	Request  *Request
-	Progress Progress
-	offsets  []int // Index of each step's first task within an occurrence.
-	size     int   // Tasks of an occurrence.
-	failures failures
+	Request            *Request
+	Progress           Progress
+	stepOffsets        []int // Index of each step's first task within an occurrence.
+	tasksPerOccurrence int
+	failures           failureCounter
 }
 
-// NewLife returns the life of a job; progress is nil for a job that nothing has happened to.
+// NewLife returns the tracker of a job. p is the stored progress, nil for a job without any.
 func NewLife(r *Request, p *Progress) *Life {
 	l := &Life{Request: r}
 	for i := range r.Steps {
-		l.offsets = append(l.offsets, l.size)
-		l.size += r.Steps[i].Count
+		l.stepOffsets = append(l.stepOffsets, l.tasksPerOccurrence)
+		l.tasksPerOccurrence += r.Steps[i].Count
 	}
-	if p != nil && len(p.Tasks) == l.size*r.Occurrences() {
+	if p != nil && len(p.Tasks) == l.tasksPerOccurrence*r.Occurrences() {
 		l.Progress = *p
-		l.takeFailures()
+		l.loadFailures()
 		return l
 	}
-	l.Progress.Tasks = make([]TaskProgress, l.size*r.Occurrences())
+	l.Progress.Tasks = make([]TaskProgress, l.tasksPerOccurrence*r.Occurrences())
 	l.Progress.GangRuns = make([]int, len(r.Steps)*r.Occurrences())
 	return l
 }
 
-// Group is the tasks of one step in one occurrence.
+// Group identifies the tasks of one step in one occurrence.
 type Group struct {
 	Occurrence, Step int
 }
 
-func (l *Life) at(t Task) *TaskProgress {
-	i, ok := l.index(t)
+func (l *Life) progressOf(t Task) *TaskProgress {
+	i, ok := l.taskIndex(t)
 	if !ok {
 		return nil
 	}
 	return &l.Progress.Tasks[i]
 }
 
-// index is a task's place in the progress; false where the job has no such task.
-func (l *Life) index(t Task) (int, bool) {
-	if t.Occurrence < 0 || t.Occurrence >= l.Request.Occurrences() || t.Step < 0 || t.Step >= len(l.offsets) {
+// taskIndex returns a task's index in the progress; false if the job has no such task.
+func (l *Life) taskIndex(t Task) (int, bool) {
+	if t.Occurrence < 0 || t.Occurrence >= l.Request.Occurrences() || t.Step < 0 || t.Step >= len(l.stepOffsets) {
 		return 0, false
 	}
 	if t.Index < 0 || t.Index >= l.Request.Steps[t.Step].Count {
 		return 0, false
 	}
-	return t.Occurrence*l.size + l.offsets[t.Step] + t.Index, true
+	return t.Occurrence*l.tasksPerOccurrence + l.stepOffsets[t.Step] + t.Index, true
 }
 
-// Task returns a copy of a task's progress; false where the job has no such task.
+// Task returns a copy of a task's progress; false if the job has no such task.
 func (l *Life) Task(t Task) (TaskProgress, bool) {
-	p := l.at(t)
+	p := l.progressOf(t)
 	if p == nil {
 		return TaskProgress{}, false
 	}
 	return *p, true
 }
 
-// Tasks returns the progress of a group's tasks, to be read only.
+// Tasks returns the progress of a group's tasks. The caller must not change it.
 func (l *Life) Tasks(g Group) []TaskProgress {
-	first := g.Occurrence*l.size + l.offsets[g.Step]
+	first := g.Occurrence*l.tasksPerOccurrence + l.stepOffsets[g.Step]
 	return l.Progress.Tasks[first : first+l.Request.Steps[g.Step].Count]
 }
 
@@ -72,7 +72,7 @@
 	return Task{l.Request.ID, g.Occurrence, g.Step, index}
 }
 
-// GroupDone reports whether all tasks of a group have ended well.
+// GroupDone reports whether all tasks of a group are finished.
 func (l *Life) GroupDone(g Group) bool {
 	for _, t := range l.Tasks(g) {
 		if t.State != Finished {
@@ -82,8 +82,8 @@
 	return true
 }
 
-// Ready returns the groups with tasks that could start at a Unix time in milliseconds: due, all earlier steps done. Of a
-// gang every task must be waiting.
+// Ready returns the groups with tasks that can start at nowMS (Unix time in milliseconds): the occurrence is due
+// and the steps that the group depends on are finished. A gang is ready only if all of its tasks are waiting.
 func (l *Life) Ready(nowMS int64) []Group {
 	if l.Progress.State.Final() {
 		return nil
@@ -95,7 +95,7 @@
 		}
 		for s := range l.Request.Steps {
 			g := Group{k, s}
-			if l.startable(g) && l.earlierDone(g) {
+			if l.startable(g) && l.dependenciesDone(g) {
 				groups = append(groups, g)
 			}
 		}
@@ -117,7 +117,7 @@
 	return waiting > 0
 }
 
-func (l *Life) earlierDone(g Group) bool {
+func (l *Life) dependenciesDone(g Group) bool {
 	for _, a := range l.Request.Steps[g.Step].After {
 		if !l.GroupDone(Group{g.Occurrence, a}) {
 			return false
@@ -126,7 +126,8 @@
 	return true
 }
 
-// NextDue returns the first time after nowMS at which an occurrence falls due, 0 for none.
+// NextDue returns the first time after nowMS at which an occurrence is due; 0 if there is none. Both are Unix
+// times in milliseconds.
 func (l *Life) NextDue(nowMS int64) int64 {
 	if l.Request.Schedule.Times == 0 || l.Progress.State.Final() {
 		return 0
@@ -139,15 +140,16 @@
 	return 0
 }
 
-// Order is a run that was placed.
+// Order is a run that was placed on a worker.
 type Order struct {
 	Task   Task
 	Run    int
 	Worker life.ID
-	Saved  string // State to continue from; empty for a start from the beginning.
+	Saved  string // Saved state to continue from; empty to start from the beginning.
 }
 
-// Place notes that tasks of a group are to run on workers and returns the orders. A gang is placed whole.
+// Place records that tasks of a group (by index) will run on workers and returns the placed runs. A gang must be
+// placed whole.
 func (l *Life) Place(g Group, workers map[int]life.ID) []Order {
 	gang := l.Request.Steps[g.Step].Gang
 	tasks := l.Tasks(g)
@@ -175,9 +177,9 @@
 	return orders
 }
 
-// Save keeps a newer saved state of a task's current run and reports whether it is new.
+// Save records a saved state of a task's current run and reports whether it is new.
 func (l *Life) Save(t Task, run int, saved string) bool {
-	p := l.at(t)
+	p := l.progressOf(t)
 	if p == nil || p.Run != run || saved == "" {
 		return false
 	}
@@ -191,14 +193,15 @@
 	return true
 }
 
-// End notes how a run ended, whether it is the one that is followed or not, and reports whether that changed anything.
+// End records how a run ended, whether it is the tracked run or an earlier one, and reports whether that changed
+// anything.
 func (l *Life) End(t Task, run int, outcome Outcome, saved string, nowMS int64) bool {
-	p := l.at(t)
+	p := l.progressOf(t)
 	if p == nil || run < 1 || run > p.Run {
 		return false
 	}
 	if p.Run != run || p.State != Placed {
-		return l.endPast(t, run, outcome, nowMS)
+		return l.endUntracked(t, run, outcome, nowMS)
 	}
 	l.Save(t, run, saved)
 	g := Group{t.Occurrence, t.Step}
@@ -214,32 +217,32 @@
 	default:
 		p.State = Waiting
 	}
-	l.settle(nowMS)
+	l.updateState(nowMS)
 	return true
 }
 
-// endPast notes the end of a run that is not followed any more, as it was taken for over: the work is done, or an attempt was made, all the
-// same. A later run stays followed until its own end.
-func (l *Life) endPast(t Task, run int, outcome Outcome, nowMS int64) bool {
+// endUntracked records the end of a run that is no longer tracked because it was presumed ended. A success still
+// finishes the task, and a failure still counts as an attempt. A later run remains tracked until its own end.
+func (l *Life) endUntracked(t Task, run int, outcome Outcome, nowMS int64) bool {
 	g := Group{t.Occurrence, t.Step}
-	if l.Progress.State.Final() || l.Request.Steps[t.Step].Lasting || l.at(t).State == Finished {
+	if l.Progress.State.Final() || l.Request.Steps[t.Step].Lasting || l.progressOf(t).State == Finished {
 		return false
 	}
 	changed := false
 	switch outcome {
 	case Succeeded:
-		l.finishPast(g, t.Index, run)
+		l.finishUntracked(g, t.Index, run)
 		changed = true
 	case FailedRun:
 		changed = l.countFailure(t, run)
 	}
-	l.settle(nowMS)
+	l.updateState(nowMS)
 	return changed
 }
 
-// finishPast marks a task, or all of a gang, as done by a run that is not followed. Its number is kept as that of the last run, so that a later
-// run that is found on a worker is known not to be the one that did the work.
-func (l *Life) finishPast(g Group, index, run int) {
+// finishUntracked marks a task, or a whole gang, as finished by an untracked run. That run is recorded as the last
+// one, so that a later run found on a worker is not mistaken for the one that succeeded.
+func (l *Life) finishUntracked(g Group, index, run int) {
 	tasks := l.Tasks(g)
 	if !l.Request.Steps[g.Step].Gang {
 		tasks = tasks[index : index+1]
@@ -249,7 +252,7 @@
 	}
 }
 
-// finishGang marks every member: a gang ends well as a whole, and one such end stands for all.
+// finishGang marks all members as finished: a gang succeeds as a whole, so the success of one member is enough.
 func (l *Life) finishGang(g Group) {
 	tasks := l.Tasks(g)
 	for i := range tasks {
@@ -257,8 +260,8 @@
 	}
 }
 
-// settle makes the job's state final where it is.
-func (l *Life) settle(nowMS int64) {
+// updateState completes the job if all tasks are finished, and records the time at which its state became final.
+func (l *Life) updateState(nowMS int64) {
 	if l.Progress.State == Running && l.allFinished() {
 		l.Progress.State = Completed
 	}
@@ -276,17 +279,17 @@
 	return true
 }
 
-// Cancel makes the job cancelled unless it has ended, and reports whether it did.
+// Cancel cancels the job unless it has ended, and reports whether it did.
 func (l *Life) Cancel(nowMS int64) bool {
 	if l.Progress.State.Final() {
 		return false
 	}
 	l.Progress.State = Cancelled
-	l.settle(nowMS)
+	l.updateState(nowMS)
 	return true
 }
 
-// Running returns the orders whose end is not known, also of a job that has ended.
+// Running returns the placed runs whose end is not known, including those of a job that has ended.
 func (l *Life) Running() []Order {
 	var orders []Order
 	for k := range l.Request.Occurrences() {
@@ -295,7 +298,7 @@
 			tasks := l.Tasks(g)
 			for i := range tasks {
 				if tasks[i].State == Placed {
-					orders = append(orders, Order{l.Name(g, i), tasks[i].Run, tasks[i].Worker, l.savedOf(g, i)})
+					orders = append(orders, Order{l.Name(g, i), tasks[i].Run, tasks[i].Worker, l.savedState(g, i)})
 				}
 			}
 		}
@@ -303,7 +306,7 @@
 	return orders
 }
 
-func (l *Life) savedOf(g Group, index int) string {
+func (l *Life) savedState(g Group, index int) string {
 	if l.Request.Steps[g.Step].Gang {
 		index = 0
 	}
--- a/internal/job/losses.go
+++ b/internal/job/losses.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Losses counts the workers that were lost under a task's runs without having said that they would leave.
+// Losses counts the workers that were lost while running a task, without having announced that they would leave.
 type Losses struct {
 	_       struct{} `cbor:",toarray"`
-	All     int      // All of them, and from the third one on also the starts that ended otherwise.
-	Counted int      // Those that may be the task's doing.
-	AtOnce  int      // Of these, those that were lost as soon as the task had begun there, and not with others.
+	All     int      // All lost workers; from the third on, also runs that ended in another way.
+	Counted int      // Losses that the task may have caused.
+	AtOnce  int      // Of Counted: workers lost alone, right after the task started there.
 }
 
-// Add returns the sum.
+// Add returns the sum of l and o.
 func (l Losses) Add(o Losses) Losses {
 	l.All += o.All
 	l.Counted += o.Counted
@@ -18,7 +18,7 @@
 	return l
 }
 
-// Sub returns the difference.
+// Sub returns l less o.
 func (l Losses) Sub(o Losses) Losses {
 	l.All -= o.All
 	l.Counted -= o.Counted
@@ -26,31 +26,31 @@
 	return l
 }
 
-// Reason is why a job has failed.
+// Reason is the reason for which a job failed.
 type Reason int
 
 // Reasons of a failure.
 const (
 	NoReason       Reason = iota
-	FailedTooOften        // A task, or a gang, has failed as often as its queue allows.
-	CrashesWorkers        // Workers crashed under a task, again and again.
+	FailedTooOften        // A task or gang failed as often as its queue allows.
+	CrashesWorkers        // Workers crashed repeatedly while running a task.
 )
 
-// String returns the reason's name for logs and counters.
+// String returns the reason's name for logs and metrics.
 func (r Reason) String() string {
 	return [...]string{"", "failed_too_often", "crashes_workers"}[r]
 }
 
-// Failure is why a job has failed, and which task brought it about.
+// Failure records why a job failed, and the task that caused it.
 type Failure struct {
 	_      struct{} `cbor:",toarray"`
 	Reason Reason
 	Group  Group
 	Index  int
-	Times  int // Failed runs, or workers that crashed.
+	Times  int // Number of failed runs, or of crashed workers.
 }
 
-// Text tells a caller why the job has failed; empty where that is not known.
+// Text returns the reason for the failure as shown to the caller; empty if it is not known.
 func (f *Failure) Text() string {
 	if f == nil {
 		return ""
@@ -68,15 +68,16 @@
 	return ""
 }
 
-// LossesOf is what is counted against a task.
+// LossesOf returns the worker losses counted for a task.
 func (l *Life) LossesOf(t Task) Losses {
-	i, _ := l.index(t)
+	i, _ := l.taskIndex(t)
 	return l.Progress.Losses[i]
 }
 
-// Charge changes what is counted against a task, by a difference that may be negative, and reports whether the job has such a task.
+// Charge adds change, which may be negative, to the worker losses of a task, and reports whether the job has such
+// a task.
 func (l *Life) Charge(t Task, change Losses) bool {
-	i, ok := l.index(t)
+	i, ok := l.taskIndex(t)
 	if !ok {
 		return false
 	}
@@ -88,27 +89,27 @@
 	return true
 }
 
-// TaskAt is the task at a place of the progress.
+// TaskAt returns the task with an index in the progress.
 func (l *Life) TaskAt(place int) Task {
-	t := Task{Job: l.Request.ID, Occurrence: place / l.size, Index: place % l.size}
-	for t.Step+1 < len(l.offsets) && t.Index >= l.offsets[t.Step+1] {
+	t := Task{Job: l.Request.ID, Occurrence: place / l.tasksPerOccurrence, Index: place % l.tasksPerOccurrence}
+	for t.Step+1 < len(l.stepOffsets) && t.Index >= l.stepOffsets[t.Step+1] {
 		t.Step++
 	}
-	t.Index -= l.offsets[t.Step]
+	t.Index -= l.stepOffsets[t.Step]
 	return t
 }
 
-// GiveUp makes the job failed because of a task, unless it has ended, and reports whether it did.
+// GiveUp marks the job as failed because of a task, unless it has ended, and reports whether it did.
 func (l *Life) GiveUp(t Task, reason Reason, times int, nowMS int64) bool {
 	if l.Progress.State.Final() {
 		return false
 	}
-	l.fail(t, reason, times)
-	l.settle(nowMS)
+	l.setFailed(t, reason, times)
+	l.updateState(nowMS)
 	return true
 }
 
-func (l *Life) fail(t Task, reason Reason, times int) {
+func (l *Life) setFailed(t Task, reason Reason, times int) {
 	l.Progress.State = Failed
 	l.Progress.Failure = &Failure{Reason: reason, Group: Group{t.Occurrence, t.Step}, Index: t.Index, Times: times}
 }
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -2,7 +2,7 @@
 
 import "github.com/pulleyring/pulleyring/internal/life"
 
-// State is what a caller is shown of a job.
+// State is the state of a job as shown to its caller.
 type State int
 
 // States of a job. The last three are final.
@@ -19,17 +19,17 @@
 	return [...]string{"queued", "running", "completed", "failed", "cancelled"}[s]
 }
 
-// Final reports whether the state never changes again.
+// Final reports whether the job has ended, so that the state never changes again.
 func (s State) Final() bool { return s >= Completed }
 
-// TaskState is where a task stands.
+// TaskState is the state of a task.
 type TaskState int
 
 // States of a task.
 const (
 	Waiting  TaskState = iota
-	Placed             // A run of it was ordered, or is about to be, and its end is not known.
-	Finished           // It has ended well.
+	Placed             // A start command for a run was sent or is about to be, and the run's end is not known.
+	Finished           // A run has succeeded.
 )
 
 // String returns the state's name for logs.
@@ -37,33 +37,34 @@
 	return [...]string{"waiting", "placed", "finished"}[s]
 }
 
-// TaskProgress is what is kept of a task.
+// TaskProgress is the stored state of a task.
 type TaskProgress struct {
 	_        struct{} `cbor:",toarray"`
 	State    TaskState
-	Run      int     // Number of the last run.
-	Failures int     // Runs that failed; a gang counts at its first task.
-	Worker   life.ID // Of the last run.
-	Saved    string  // Newest saved state; a gang's stands at its first task.
+	Run      int     // Number of the last run, from 1; 0 before the first.
+	Failures int     // Number of failed runs; a gang's are counted at its first task.
+	Worker   life.ID // Worker of the last run.
+	Saved    string  // Newest saved state; a gang's is kept at its first task.
 }
 
-// Progress is what has become of a job; it is one row of the store, a second one where something is counted against it, and a third one where runs of it failed.
+// Progress is the stored state of a job. It takes one row of the store, and further rows for Faults and FailedRuns
+// if they are not empty.
 type Progress struct {
 	_          struct{} `cbor:",toarray"`
 	State      State
-	EndedAt    int64 // Unix time in milliseconds at which the state became final.
-	GangRuns   []int // For each gang, by occurrence and step: the last run that was counted as failed.
+	EndedAt    int64 // Unix time in milliseconds at which the state became final; 0 before.
+	GangRuns   []int // Last run counted as failed, for each step of each occurrence; used for gangs only.
 	Tasks      []TaskProgress
 	Faults     `cbor:"-"`
 	FailedRuns FailedRuns `cbor:"-"`
 }
 
-// FailedRuns is the numbers of the runs that are known to have failed, by their task's place among all; those of a gang stand at its first task. It is kept in a
-// row of its own, which boxes that don't know it pass over.
+// FailedRuns are the numbers of the runs known to have failed, by task index; a gang's are kept at its first task.
+// They have a row of their own, which boxes of earlier versions ignore.
 type FailedRuns map[int][]int
 
-// Size is how many runs there are.
-func (f FailedRuns) Size() int {
+// Total returns the number of runs of all tasks.
+func (f FailedRuns) Total() int {
 	n := 0
 	for _, runs := range f {
 		n += len(runs)
@@ -71,28 +72,28 @@
 	return n
 }
 
-// Faults is what is counted against a job. Few jobs have any, so that it is kept in a row of its own; its zero value is none.
+// Faults are the worker losses and the failure of a job. They have a row of their own, as few jobs have any.
 type Faults struct {
 	_       struct{}       `cbor:",toarray"`
-	Losses  map[int]Losses // By the task's place among all.
-	Failure *Failure       // Why the job has failed, nil where it has not.
+	Losses  map[int]Losses // By task index.
+	Failure *Failure       // Why the job failed; nil if it did not.
 }
 
-// Any reports whether anything is counted against the job.
-func (f *Faults) Any() bool { return len(f.Losses) > 0 || f.Failure != nil }
+// AnyFaults reports whether the job has any losses or a failure.
+func (f *Faults) AnyFaults() bool { return len(f.Losses) > 0 || f.Failure != nil }
 
-// Outcome is how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome int
 
 // Outcomes of a run.
 const (
 	Succeeded   Outcome = iota
-	FailedRun           // Through its own fault or the worker's; the only outcome that counts as an attempt.
-	Stopped             // On an order.
-	Lapsed              // Its lease was over, or its worker is gone.
-	GangBroken          // Another member ended.
-	GangMissing         // It waited for the other members in vain.
-	NeverRan            // The order was surely not carried out and never will be.
+	FailedRun           // It failed, by its own fault or the worker's; the only outcome that counts as a failed attempt.
+	Stopped             // It was stopped on a command.
+	Lapsed              // Its lease expired, or its worker is gone.
+	GangBroken          // Another member of the gang ended.
+	GangMissing         // The other members of the gang did not start in time.
+	NeverRan            // The start command was certainly not carried out and never will be.
 )
 
 // String returns the outcome's name for logs.
--- a/internal/ledger/addresses.go
+++ b/internal/ledger/addresses.go
@@ -11,16 +11,18 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// tableAddresses holds where workers are reached. A successor needs that for runs on a worker whose record is gone by then.
+// tableAddresses holds the workers' addresses. After a takeover they are needed for runs on workers that no longer
+// have a record.
 const tableAddresses = "addresses"
 
-// AddressRows is the number of rows over which workers are spread: one that came or went has its row written anew, whole.
+// AddressRows is the number of rows over which workers are spread. When a worker joins or leaves, its row is
+// rewritten completely.
 const AddressRows = 64
 
-// Addresses are addresses (IP:port) by life of a worker.
+// Addresses are the workers' addresses (IP:port) by incarnation.
 type Addresses map[life.ID]string
 
-// Of is where a life was reached, empty where that is not known.
+// Of returns the address of an incarnation; empty if it is not known.
 func (a Addresses) Of(l life.ID) string {
 	if address, known := a[l]; known {
 		return address
@@ -33,10 +35,10 @@
 	return ""
 }
 
-// AddressRow is the row that a worker's address is in.
+// AddressRow returns the number of the row that holds a worker's address.
 func AddressRow(worker string) int { return int(xxhash.Sum64String(worker) % AddressRows) }
 
-// Addresses reads where the workers were reached that the last holder of the lease knew.
+// Addresses reads the addresses of the workers that the last holder of the lease knew.
 func (l *Ledger) Addresses(ctx context.Context) (Addresses, error) {
 	page, err := store.ReadAll(ctx, l.Store, store.Range{Table: tableAddresses, Part: l.Shard})
 	if err != nil {
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -15,22 +15,23 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// entriesMost is what the store takes in one transaction: conditions, writes and deletes together (the users' pages).
-const entriesMost = 100
+// maxTransactionEntries is the store's limit of conditions, writes and deletes together in one transaction.
+const maxTransactionEntries = 100
 
-// counting is a store that notes the size of the largest transaction.
-type counting struct {
+// sizeRecorder is a store that records the size of the largest transaction.
+type sizeRecorder struct {
 	store.Store
-	most int
+	largest int
 }
 
 // Commit implements store.Store.
-func (c *counting) Commit(ctx context.Context, tx *store.Transaction) (int64, error) {
-	c.most = max(c.most, len(tx.Conditions)+len(tx.Writes)+len(tx.Deletes))
+func (c *sizeRecorder) Commit(ctx context.Context, tx *store.Transaction) (int64, error) {
+	c.largest = max(c.largest, len(tx.Conditions)+len(tx.Writes)+len(tx.Deletes))
 	return c.Store.Commit(ctx, tx)
 }
 
-// TestFaultsAreKept: what is counted against a job, and why it failed, is in the row that a successor reads, and goes with the job.
+// TestFaultsAreKept checks that a job's worker losses and failure are stored, read back after a takeover, and
+// deleted with the job.
 func TestFaultsAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -46,7 +47,7 @@
 		quicktest.Assert(t, err, quicktest.IsNil)
 		quicktest.Assert(t, all["a"].Losses, quicktest.DeepEquals, p.Losses)
 		quicktest.Assert(t, *all["a"].Failure, quicktest.Equals, *p.Failure)
-		quicktest.Assert(t, all["b"].Any(), quicktest.IsFalse)
+		quicktest.Assert(t, all["b"].AnyFaults(), quicktest.IsFalse)
 		failure, err := l.Failure(ctx, "a")
 		quicktest.Assert(t, err, quicktest.IsNil)
 		quicktest.Assert(t, failure.Text(), quicktest.Equals, "task 2 of step 0 was given up: 3 workers crashed while it ran there")
@@ -57,11 +58,11 @@
 	})
 }
 
-// TestLargestBatch: the largest batch that a scheduler makes fits into one transaction of the store.
+// TestLargestBatch checks that the largest batch of a scheduler fits into one transaction of the store.
 func TestLargestBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		rows := &counting{Store: emulator.NewStore(1).For("box-1", &emulator.Gate{})}
+		rows := &sizeRecorder{Store: emulator.NewStore(1).For("box-1", &emulator.Gate{})}
 		l := &ledger.Ledger{Store: rows, Shard: "main"}
 		tenure, err := l.Claim(ctx, "box-1/a", ledger.Lease{}, time.Now())
 		quicktest.Assert(t, err, quicktest.IsNil)
@@ -82,13 +83,14 @@
 			b.Addresses[n] = ledger.Addresses{{Worker: "w"}: "a"}
 		}
 		quicktest.Assert(t, tenure.Commit(ctx, b), quicktest.IsNil)
-		quicktest.Assert(t, rows.most <= entriesMost, quicktest.IsTrue, quicktest.Commentf("%d", rows.most))
+		quicktest.Assert(t, rows.largest <= maxTransactionEntries, quicktest.IsTrue, quicktest.Commentf("%d entries", rows.largest))
 	})
 }
 
-// TestFailedRunsAreKept: which runs of a job failed is in a row that a successor reads, and goes with the job. A successor knew only how many had failed, so that it
-// could not tell one that its predecessor had given up from one that was counted. A box of the version before reads all of the table, passes over rows of
-// jobs that it doesn't know, and finds the row of faults as it was.
+// TestFailedRunsAreKept checks that the list of failed runs is stored, read back after a takeover, and deleted
+// with the job. With only their number, a new scheduler could not tell a run that was presumed ended from one that
+// was counted as failed. The test also reads the rows as a box of the earlier version does, which ignores rows of
+// unknown jobs and must be able to decode the row of faults.
 func TestFailedRunsAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -110,7 +112,7 @@
 		known := 0
 		for i := range page.Rows {
 			if all[job.ID(page.Rows[i].Name)] == nil {
-				continue // As the version before does.
+				continue // As the earlier version does.
 			}
 			known++
 			before := struct {
--- a/internal/ledger/lease.go
+++ b/internal/ledger/lease.go
@@ -10,20 +10,20 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// Lease is the row that says who schedules a shard. It changes with every commit of the holder, which makes it the
-// holder's heartbeat as well as the condition that shuts out a box that was replaced.
+// Lease is the row that names the box that schedules a shard. Every commit of the holder changes it. The row thus
+// serves as the holder's heartbeat and as the condition that makes commits of a replaced box fail.
 type Lease struct {
 	_        struct{} `cbor:",toarray"`
-	Holder   string   // The box with its start, empty when the lease was given back.
-	Epoch    int64    // Rises with each holder; the fencing token towards workers.
-	Sequence int64    // Rises with each attempt to commit within an epoch.
-	Version  int64    `cbor:"-"` // Version of the row as it was read.
+	Holder   string   // Name of the box and of its start; empty after a release.
+	Epoch    int64    // Increases with each holder; the fencing token in commands to workers.
+	Sequence int64    // Increases with each commit attempt of a holder.
+	Version  int64    `cbor:"-"` // Version of the row when it was read.
 }
 
-// ErrReplaced says that another box holds the lease.
+// ErrReplaced means that another box holds the lease.
 var ErrReplaced = errors.New("ledger: replaced by another box")
 
-// Lease reads the shard's lease; the zero value where nobody ever held it.
+// Lease reads the shard's lease; the zero value if no box ever held it.
 func (l *Ledger) Lease(ctx context.Context) (Lease, error) {
 	page, err := l.readOne(ctx, l.key(tableLease, l.Shard))
 	if err != nil || len(page.Rows) == 0 {
@@ -32,7 +32,8 @@
 	return decodeLease(&page.Rows[0])
 }
 
-// WatchRelease waits up to wait for a lease to be given back after a version and returns the version to go on from.
+// WatchRelease waits up to wait for a lease to be released after the version since. It returns the version from
+// which to continue.
 func (l *Ledger) WatchRelease(ctx context.Context, since int64, wait time.Duration) (int64, error) {
 	page, err := l.Store.Watch(ctx, tableRelease, since, wait)
 	return page.Version, err
@@ -45,16 +46,17 @@
 	return lease, errors.Wrap(err, "ledger: unable to decode a lease")
 }
 
-// Tenure is the time in which a box holds a shard's lease. Only one goroutine may commit.
+// Tenure is a lease term: the time in which one box holds the shard's lease. Only one goroutine may commit.
 type Tenure struct {
-	Claimed time.Time // When the claim was sent: the lease was held at some time after that.
-	Quiet   time.Time // No predecessor committed anything after that.
+	Claimed time.Time // When the claim was sent; the lease was held at some time after that.
+	Quiet   time.Time // No earlier holder committed anything after this.
 
 	ledger *Ledger
 	lease  Lease
 }
 
-// Claim takes the lease from its holder as it was seen, and unchanged since a time. The error is ErrReplaced where another box was faster.
+// Claim takes over the lease. seen is the lease as last read, unchanged since the given time. The error is
+// ErrReplaced if another box claimed or changed it first.
 func (l *Ledger) Claim(ctx context.Context, holder string, seen Lease, since time.Time) (*Tenure, error) {
 	t := &Tenure{Claimed: time.Now(), Quiet: since, ledger: l, lease: Lease{Holder: holder, Epoch: seen.Epoch + 1, Version: seen.Version}}
 	raw, err := cbor.Marshal(t.lease)
@@ -74,60 +76,61 @@
 	return t, err
 }
 
-// Epoch is the tenure's fencing token.
+// Epoch returns the fencing token.
 func (t *Tenure) Epoch() int64 { return t.lease.Epoch }
 
-// Batch is what a scheduler commits at once.
+// Batch is a set of changes that a scheduler commits in one transaction.
 type Batch struct {
 	Progress  map[job.ID]*job.Progress
-	Summary   *Summary          // nil to leave it.
-	Addresses map[int]Addresses // Rows of workers' addresses, whole.
-	Forget    []Forgotten       // Jobs whose progress is deleted; their requests were dropped before.
-	Release   bool              // Give the lease back.
+	Summary   *Summary          // nil to leave it unchanged.
+	Addresses map[int]Addresses // Complete rows of worker addresses, by row number.
+	Forget    []Forgotten       // Jobs whose progress is deleted; their requests must be deleted before.
+	Release   bool              // Release the lease.
 }
 
-// Forgotten is a job whose rows are deleted.
+// Forgotten selects the rows of a job to be deleted.
 type Forgotten struct {
 	ID         job.ID
-	Faults     bool // Something was counted against it, so that it has a row of that.
-	FailedRuns bool // Runs of it failed, so that it has a row of their numbers.
+	Faults     bool // The job has a row of faults.
+	FailedRuns bool // The job has a row of failed runs.
 }
 
-// ForgottenAs is a job with its progress whose rows are to be deleted.
+// ForgottenAs returns the deletion of a job with the given progress.
 func ForgottenAs(id job.ID, p *job.Progress) Forgotten {
-	return Forgotten{ID: id, Faults: p.Any(), FailedRuns: len(p.FailedRuns) > 0}
+	return Forgotten{ID: id, Faults: p.AnyFaults(), FailedRuns: len(p.FailedRuns) > 0}
 }
 
-// Rows is how many rows that deletes.
+// Rows returns the number of rows to be deleted.
 func (f Forgotten) Rows() int {
 	rows := 1
-	for _, also := range []bool{f.Faults, f.FailedRuns} {
-		if also {
+	for _, exists := range []bool{f.Faults, f.FailedRuns} {
+		if exists {
 			rows++
 		}
 	}
 	return rows
 }
 
-// Rows is how many rows a job's progress takes.
+// Rows returns the number of rows that a job's progress takes.
 func Rows(p *job.Progress) int { return ForgottenAs("", p).Rows() }
 
-// Limits of one batch, so that its transaction stays under the store's 100 entries and 1 MB.
+// Limits of one batch. They keep its transaction within the store's limits of 100 entries and 1 MB.
 const (
-	MaxBatchRows  = 70 // Of progress, faults and failed runs; the last job may add two more.
-	MaxForgetRows = 14
-	// MaxAddressRows bounds the rows of addresses.
-	MaxAddressRows = 8
-	MaxBatchTasks  = 15000 // About 45 bytes each.
+	MaxBatchRows   = 70    // Rows of progress, faults and failed runs; the last job may exceed it by two.
+	MaxForgetRows  = 14    // Deleted rows.
+	MaxAddressRows = 8     // Rows of worker addresses.
+	MaxBatchTasks  = 15000 // Tasks in the rows of progress, at about 45 bytes each.
 )
 
-// Version is the version of the lease's row: that of the tenure's last commit. What the store gives a higher one was written later.
+// Version returns the version of the lease row after the last commit. Rows with a higher version were written
+// later.
 func (t *Tenure) Version() int64 { return t.lease.Version }
 
-// Commit writes a batch if the lease is still held. An attempt without an answer is looked for on the lease, where
-// it leaves its mark, and is repeated until ctx ends. After ErrReplaced nothing was written and nothing will be. After any
-// other error the batch may have been written; committing it again, whole and possibly with more, is always right:
-// an attempt that comes late fails, because the one that took effect has changed the lease's version.
+// Commit writes a batch if the lease is still held. If an attempt gets no answer, Commit reads the lease to find
+// out whether it took effect, and retries until ctx ends. After ErrReplaced nothing was written, and nothing will
+// be. After any other error the batch may have been written. It is then safe to commit it again, complete and
+// possibly with further changes: an attempt that arrives late fails, because the one that took effect has changed
+// the version of the lease.
 func (t *Tenure) Commit(ctx context.Context, b *Batch) error {
 	key := t.ledger.key(tableLease, t.ledger.Shard)
 	first := t.lease.Sequence + 1
@@ -149,11 +152,11 @@
 		}
 		var conflict *store.Conflict
 		if errors.Is(err, store.ErrUnknown) {
-			landed, readErr := t.landed(ctx, first)
+			committed, readErr := t.tookEffect(ctx, first)
 			if readErr != nil || ctx.Err() != nil {
 				return err
 			}
-			if landed {
+			if committed {
 				return nil
 			}
 			continue
@@ -161,19 +164,20 @@
 		if !errors.As(err, &conflict) {
 			return err
 		}
-		sequence, own := t.adopt(conflict)
+		sequence, own := t.adoptOwnCommit(conflict)
 		if !own {
 			return ErrReplaced
 		}
 		if sequence >= first {
-			return nil // An attempt of this batch took effect, and its answer was lost.
+			return nil // An earlier attempt took effect, but its answer was lost.
 		}
 	}
 }
 
-// landed reports whether an attempt from a sequence number on took effect, and takes over its version. The read also tells
-// how slow the store is, so that the next attempt waits accordingly: each one takes its turn in the store.
-func (t *Tenure) landed(ctx context.Context, first int64) (bool, error) {
+// tookEffect reports whether a commit attempt with sequence number first or higher took effect, and if so records
+// the new version of the lease. The read also shows the store client how slow the store is, so that the next
+// attempt waits long enough: every attempt takes its turn in the store's queue.
+func (t *Tenure) tookEffect(ctx context.Context, first int64) (bool, error) {
 	seen, err := t.ledger.Lease(ctx)
 	if err != nil || seen.Holder != t.lease.Holder || seen.Epoch != t.lease.Epoch || seen.Sequence < first {
 		return false, err
@@ -182,8 +186,9 @@
 	return true, nil
 }
 
-// adopt takes over the version of an own earlier commit whose answer was lost, and returns that commit's sequence number.
-func (t *Tenure) adopt(conflict *store.Conflict) (sequence int64, own bool) {
+// adoptOwnCommit looks in a conflict for an earlier commit of this term whose answer was lost. If there is one, it
+// records that commit's version and returns its sequence number.
+func (t *Tenure) adoptOwnCommit(conflict *store.Conflict) (sequence int64, own bool) {
 	for i := range conflict.Rows {
 		row := &conflict.Rows[i]
 		lease, err := decodeLease(row)
@@ -240,9 +245,9 @@
 	return tx, nil
 }
 
-// addFaults adds the rows that few jobs have.
+// addFaults adds the rows of faults and failed runs if the job has any.
 func (t *Tenure) addFaults(id job.ID, p *job.Progress, add func(table, name string, value any) error) error {
-	if p.Any() {
+	if p.AnyFaults() {
 		if err := add(tableFaults, string(id), &p.Faults); err != nil {
 			return err
 		}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger keeps jobs and what has become of them as rows of the platform's store. Each kind of row has a single
-// writer: requests and cancellations are written by whichever box took the call, everything else by the box that holds
+// Package ledger stores jobs and their progress as rows of the platform's store. Each kind of row has one writer:
+// requests and cancellations are written by the box that received the call, all other rows by the box that holds
 // the shard's lease.
 package ledger
 
@@ -15,57 +15,58 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// Tables of the system's own rows.
+// Tables of the store.
 const (
 	tableJobs     = "jobs"     // Requests, and cancellations under the request's name with cancelSuffix.
-	tableProgress = "progress" // What has become of a job.
-	tableFaults   = "faults"   // What is counted against a job, and under its name with failedSuffix its failed runs; few jobs have such rows.
-	tableLease    = "lease"    // Who schedules a shard.
-	tableRelease  = "release"  // Changes when a lease is given back, to wake the other boxes.
-	tableSummary  = "summary"  // Counts for each queue.
+	tableProgress = "progress" // Progress of each job.
+	tableFaults   = "faults"   // Worker losses and failures; with failedSuffix, the failed runs. Few jobs have such rows.
+	tableLease    = "lease"    // Box that schedules the shard.
+	tableRelease  = "release"  // Epoch of the last lease that was released; a change wakes the other boxes.
+	tableSummary  = "summary"  // Number of pending jobs in each queue.
 )
 
 const cancelSuffix = "/cancel"
 
-// failedSuffix names the row of a job's failed runs. Boxes that don't know it take it for that of a job that was forgotten, and pass over it; one more entry
-// in the row beside it would keep them from reading any.
+// failedSuffix is appended to a job's name to name the row of its failed runs. Boxes of earlier versions take such
+// a row for that of a deleted job and ignore it. A further field in the row of faults would make them fail to read
+// any of these rows.
 const failedSuffix = "/failed"
 
-// Ledger reads and writes one shard's rows.
+// Ledger reads and writes the rows of one shard.
 type Ledger struct {
 	Store store.Store
-	Shard string // Part of the store that the shard's rows lie in.
+	Shard string // Name of the shard: the part of the store that holds its rows.
 }
 
 func (l *Ledger) key(table, name string) store.Key {
 	return store.Key{Table: table, Part: l.Shard, Name: name}
 }
 
-// ErrCancelled says that a job was cancelled before its request was written; the request never will be.
+// ErrCancelled means that the job was cancelled before its request was written. The request will not be written.
 var ErrCancelled = errors.New("ledger: cancelled before it was accepted")
 
-// ErrOther says that a job of another workspace has the same name.
+// ErrOther means that a job of another workspace has the same name.
 var ErrOther = errors.New("ledger: the name belongs to another workspace's job")
 
-// Submit writes a request unless it is there already. It returns ErrCancelled, ErrOther or the store's error.
+// Submit writes a request unless it is already stored. It returns ErrCancelled, ErrOther or the store's error.
 func (l *Ledger) Submit(ctx context.Context, r *job.Request) error {
 	raw, err := cbor.Marshal(r)
 	if err != nil {
 		return errors.Wrap(err, "ledger: unable to encode a request")
 	}
-	return l.inParts(r.ID, func(part string) (bool, error) { return l.submitIn(ctx, part, r, raw) })
+	return l.tryParts(r.ID, func(part string) (bool, error) { return l.submitIn(ctx, part, r, raw) })
 }
 
-// submitIn writes a request in one part; out says that the part seems to be out.
-func (l *Ledger) submitIn(ctx context.Context, part string, r *job.Request, raw []byte) (out bool, err error) {
+// submitIn writes a request to one part. unavailable reports that the part seems to be unavailable.
+func (l *Ledger) submitIn(ctx context.Context, part string, r *job.Request, raw []byte) (unavailable bool, err error) {
 	request, cancel := requestKey(part, r.ID), cancelKey(part, r.ID)
 	_, err = l.Store.Commit(ctx, &store.Transaction{
 		Conditions: []store.Condition{{Key: request}, {Key: cancel}},
 		Writes:     []store.Row{{Key: request, Value: raw}},
 	})
 	var conflict *store.Conflict
-	if isNoAnswer(err) {
-		return l.lookBack(ctx, part, r, err)
+	if isOutcomeUnknown(err) {
+		return l.checkSubmitted(ctx, part, r, err)
 	}
 	if !errors.As(err, &conflict) {
 		return errors.Is(err, store.ErrRefused), err
@@ -83,9 +84,10 @@
 	return false, ErrCancelled
 }
 
-// lookBack settles a write of a request that got no answer if it is there by now; otherwise the error stays. Reading costs
-// the store less than another write. A part that can't be read either is out.
-func (l *Ledger) lookBack(ctx context.Context, part string, r *job.Request, unknown error) (out bool, err error) {
+// checkSubmitted reads a request back after a write that got no answer, and returns unknown, the error of that
+// write, if it is not stored. A read costs the store less than a second write. If the read fails too, the part is
+// unavailable.
+func (l *Ledger) checkSubmitted(ctx context.Context, part string, r *job.Request, unknown error) (unavailable bool, err error) {
 	known, err := l.requestIn(ctx, part, r.ID)
 	if err != nil {
 		return true, unknown
@@ -103,16 +105,18 @@
 	return nil
 }
 
-// Cancel notes that a job is cancelled, whether it is known or not, so that a request still under way can't become one.
+// Cancel records that a job is cancelled, even if the job is not known, so that a request still on its way is
+// rejected.
 func (l *Ledger) Cancel(ctx context.Context, id job.ID) error {
-	return l.inParts(id, func(part string) (bool, error) {
+	return l.tryParts(id, func(part string) (bool, error) {
 		row := store.Row{Key: cancelKey(part, id), Value: []byte{1}}
 		_, err := l.Store.Commit(ctx, &store.Transaction{Writes: []store.Row{row}})
 		return true, err
 	})
 }
 
-// Request returns a job's request, nil where there is none. It must be in none of the job's parts for that.
+// Request returns a job's request. It returns nil without an error only if all parts that may hold the request
+// were read and none does.
 func (l *Ledger) Request(ctx context.Context, id job.ID) (*job.Request, error) {
 	var failed error
 	for _, part := range l.partsFor(id) {
@@ -135,8 +139,8 @@
 	return decodeRequest(page.Rows[0].Value)
 }
 
-// State returns the state that a job's scheduler committed last, false where there is none: the job is queued, or there is
-// no such job.
+// State returns the state of a job as its scheduler last committed it; false if none is stored: the job is queued
+// or does not exist.
 func (l *Ledger) State(ctx context.Context, id job.ID) (job.State, bool, error) {
 	page, err := l.readOne(ctx, l.key(tableProgress, string(id)))
 	if err != nil || len(page.Rows) == 0 {
@@ -153,13 +157,13 @@
 	return l.Store.Read(ctx, store.Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x00", Limit: 1})
 }
 
-// Summary is what the scheduler tells the other boxes of the queues.
+// Summary is what the scheduler publishes about the queues for the other boxes.
 type Summary struct {
 	_       struct{}       `cbor:",toarray"`
-	Pending map[string]int // For each queue: accepted jobs of which nothing was started.
+	Pending map[string]int // By queue: number of accepted jobs of which no task was started.
 }
 
-// Summary reads the newest summary.
+// Summary reads the latest summary; empty if there is none.
 func (l *Ledger) Summary(ctx context.Context) (*Summary, error) {
 	s := &Summary{}
 	page, err := l.readOne(ctx, l.key(tableSummary, l.Shard))
@@ -169,27 +173,28 @@
 	return s, errors.Wrap(cbor.Unmarshal(page.Rows[0].Value, s), "ledger: unable to decode a summary")
 }
 
-// Change is a request or a cancellation that came in, or one that was deleted.
+// Change is a new request or cancellation.
 type Change struct {
 	ID        job.ID
-	Request   *job.Request // Set for a request.
+	Request   *job.Request // Set for a request, nil for a cancellation.
 	Cancelled bool
-	Version   int64  // Of the row.
-	Away      string // Part that the row lies in if it is not the job's first one.
+	Version   int64  // Version of the row.
+	Away      string // Part that holds the row, if it is not the job's primary part.
 }
 
-// Changes is a list of changes in order; a feed goes on from its version.
+// Changes is a list of changes in the order in which they were written. To continue, watch from Version.
 type Changes struct {
 	List    []Change
 	Version int64
 }
 
-// partQuick is the time within which the first part must have been read for the others to be read side by side.
-const partQuick = 100 * time.Millisecond
+// parallelReadThreshold is the time within which the first part must be read for the others to be read in
+// parallel.
+const parallelReadThreshold = 100 * time.Millisecond
 
-// Jobs reads all requests and cancellations. A feed from the version that it returns misses nothing. Parts are read side by
-// side where the first one came quickly: one after the other they took 0.9 s for 600 jobs on a busy box, while a thin link
-// carries no more at a time.
+// Jobs reads all requests and cancellations. A watch from the returned version misses no change. If the first part
+// is read within parallelReadThreshold, the others are read in parallel: in sequence, 600 jobs took 0.9 s on a
+// busy box. On a slow link reading in parallel is no faster.
 func (l *Ledger) Jobs(ctx context.Context) (Changes, error) {
 	began := time.Now()
 	all, err := l.jobsIn(ctx, 0)
@@ -197,37 +202,37 @@
 		return Changes{}, err
 	}
 	var (
-		pages  [requestParts]store.Page
-		failed [requestParts]error
+		pages  [requestPartCount]store.Page
+		failed [requestPartCount]error
 		group  sync.WaitGroup
 	)
-	quick := time.Since(began) < partQuick
-	for n := 1; n < requestParts; n++ {
+	parallel := time.Since(began) < parallelReadThreshold
+	for n := 1; n < requestPartCount; n++ {
 		group.Go(func() { pages[n], failed[n] = l.jobsIn(ctx, n) })
-		if !quick {
+		if !parallel {
 			group.Wait()
 		}
 	}
 	group.Wait()
-	for n := 1; n < requestParts; n++ {
+	for n := 1; n < requestPartCount; n++ {
 		if failed[n] != nil {
 			return Changes{}, failed[n]
 		}
 		all.Rows = append(all.Rows, pages[n].Rows...)
 	}
-	return l.changes(all) // The version is that of the first read.
+	return l.changes(all) // The version is that of the first part read.
 }
 
 func (l *Ledger) jobsIn(ctx context.Context, part int) (store.Page, error) {
 	return store.ReadAll(ctx, l.Store, store.Range{Table: tableJobs, Part: l.partOf(part)})
 }
 
-// Drop deletes the requests and cancellations of jobs that need not be shown any more; away names the parts besides the
-// first one that have rows of a job.
+// Drop deletes the requests and cancellations of jobs that no longer have to be shown. away lists the parts
+// besides the primary one that hold rows of a job.
 func (l *Ledger) Drop(ctx context.Context, ids []job.ID, away map[job.ID][]string) error {
 	byPart := map[string]*store.Transaction{}
 	for _, id := range ids {
-		for _, part := range append([]string{l.homePart(id)}, away[id]...) {
+		for _, part := range append([]string{l.primaryPart(id)}, away[id]...) {
 			if byPart[part] == nil {
 				byPart[part] = &store.Transaction{}
 			}
@@ -242,7 +247,7 @@
 	return nil
 }
 
-// WatchJobs waits up to wait for requests and cancellations after a version.
+// WatchJobs waits up to wait for requests and cancellations newer than the version since and returns them.
 func (l *Ledger) WatchJobs(ctx context.Context, since int64, wait time.Duration) (Changes, error) {
 	page, err := l.Store.Watch(ctx, tableJobs, since, wait)
 	if err != nil {
@@ -259,36 +264,36 @@
 			continue
 		}
 		if id, ok := strings.CutSuffix(row.Name, cancelSuffix); ok {
-			c.List = append(c.List, Change{ID: job.ID(id), Cancelled: true, Version: row.Version, Away: l.away(job.ID(id), row.Part)})
+			c.List = append(c.List, Change{ID: job.ID(id), Cancelled: true, Version: row.Version, Away: l.fallbackPart(job.ID(id), row.Part)})
 			continue
 		}
 		r, err := decodeRequest(row.Value)
 		if err != nil {
 			return Changes{}, err
 		}
-		c.List = append(c.List, Change{ID: r.ID, Request: r, Version: row.Version, Away: l.away(r.ID, row.Part)})
+		c.List = append(c.List, Change{ID: r.ID, Request: r, Version: row.Version, Away: l.fallbackPart(r.ID, row.Part)})
 	}
 	return c, nil
 }
 
-// Progress reads what has become of all jobs, and what is counted against them, side by side: at the store's slowest a read takes 0.4 s, for which
-// a take-over waits.
+// Progress reads the progress of all jobs with their faults and failed runs. The tables are read in parallel,
+// because a takeover waits for them and a read can take 0.4 s.
 func (l *Ledger) Progress(ctx context.Context) (map[job.ID]*job.Progress, error) {
 	var (
-		page, faults store.Page
-		err, alsoErr error
-		group        sync.WaitGroup
+		page, faults   store.Page
+		err, faultsErr error
+		group          sync.WaitGroup
 	)
 	group.Go(func() {
-		faults, alsoErr = store.ReadAll(ctx, l.Store, store.Range{Table: tableFaults, Part: l.Shard})
+		faults, faultsErr = store.ReadAll(ctx, l.Store, store.Range{Table: tableFaults, Part: l.Shard})
 	})
 	page, err = store.ReadAll(ctx, l.Store, store.Range{Table: tableProgress, Part: l.Shard})
 	group.Wait()
 	if err != nil {
 		return nil, err
 	}
-	if alsoErr != nil {
-		return nil, alsoErr
+	if faultsErr != nil {
+		return nil, faultsErr
 	}
 	all := make(map[job.ID]*job.Progress, len(page.Rows))
 	for i := range page.Rows {
@@ -299,15 +304,16 @@
 		all[job.ID(page.Rows[i].Name)] = p
 	}
 	for i := range faults.Rows {
-		if err := takeFaults(all, &faults.Rows[i]); err != nil {
+		if err := addFaultRow(all, &faults.Rows[i]); err != nil {
 			return nil, err
 		}
 	}
 	return all, nil
 }
 
-// takeFaults takes in a row of what is counted against a job, or of its failed runs; its job may have been forgotten between the two reads.
-func takeFaults(all map[job.ID]*job.Progress, row *store.Row) error {
+// addFaultRow adds a row of faults or of failed runs to the progress of its job, if the job was not deleted
+// between the two reads.
+func addFaultRow(all map[job.ID]*job.Progress, row *store.Row) error {
 	id, failed := strings.CutSuffix(row.Name, failedSuffix)
 	p := all[job.ID(id)]
 	switch {
@@ -319,13 +325,13 @@
 	return decodeFaults(row.Value, &p.Faults)
 }
 
-// Failure reads why a job has failed, nil where nothing tells.
+// Failure reads why a job failed; nil if nothing is stored.
 func (l *Ledger) Failure(ctx context.Context, id job.ID) (*job.Failure, error) {
-	f, err := l.faultsOf(ctx, id)
+	f, err := l.readFaults(ctx, id)
 	return f.Failure, err
 }
 
-// ProgressOf reads what has become of one job and what is counted against it, nil where nothing has happened to it.
+// ProgressOf reads the progress of one job with its faults, without its failed runs; nil if nothing is stored.
 func (l *Ledger) ProgressOf(ctx context.Context, id job.ID) (*job.Progress, error) {
 	page, err := l.readOne(ctx, l.key(tableProgress, string(id)))
 	if err != nil || len(page.Rows) == 0 {
@@ -335,12 +341,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Faults, err = l.faultsOf(ctx, id)
+	p.Faults, err = l.readFaults(ctx, id)
 	return p, err
 }
 
-// faultsOf reads what is counted against a job, the zero value where nothing is.
-func (l *Ledger) faultsOf(ctx context.Context, id job.ID) (job.Faults, error) {
+// readFaults reads a job's faults; the zero value if nothing is stored.
+func (l *Ledger) readFaults(ctx context.Context, id job.ID) (job.Faults, error) {
 	var f job.Faults
 	page, err := l.readOne(ctx, l.key(tableFaults, string(id)))
 	if err != nil || len(page.Rows) == 0 {
@@ -351,7 +357,7 @@
 }
 
 func decodeFaults(raw []byte, f *job.Faults) error {
-	return errors.Wrap(cbor.Unmarshal(raw, f), "ledger: unable to decode what is counted against a job")
+	return errors.Wrap(cbor.Unmarshal(raw, f), "ledger: unable to decode a job's faults")
 }
 
 func decodeRequest(raw []byte) (*job.Request, error) {
--- a/internal/ledger/parts.go
+++ b/internal/ledger/parts.go
@@ -9,25 +9,27 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// requestParts is the number of parts that requests are spread over: a part works off one transaction after the other,
-// and when the store is slow one part takes only three or four a second.
-const requestParts = 8
+// requestPartCount is the number of parts over which requests are spread. A part executes one transaction at a
+// time, and when the store is slow only three or four a second.
+const requestPartCount = 8
 
-// Parts can be out one by one. A job's request and cancellation then go to another part: partsTried in all, partStep apart.
+// Single parts can be unavailable. A job's request or cancellation is then written to another part: partsPerJob in
+// all, fallbackStride apart.
 const (
-	partsTried = 3
-	partStep   = 3
+	partsPerJob    = 3
+	fallbackStride = 3
 )
 
-// homePart is the part of the store with a job's request and cancellation, unless that part was out.
-func (l *Ledger) homePart(id job.ID) string { return l.partsFor(id)[0] }
+// primaryPart returns the part that holds a job's request and cancellation unless it was unavailable when they
+// were written.
+func (l *Ledger) primaryPart(id job.ID) string { return l.partsFor(id)[0] }
 
-// partsFor are the parts that may have a job's request and cancellation, the first one usually.
-func (l *Ledger) partsFor(id job.ID) [partsTried]string {
-	home := int(xxhash.Sum64String(string(id)) % requestParts)
-	var parts [partsTried]string
+// partsFor returns the parts that may hold a job's request and cancellation, the primary part first.
+func (l *Ledger) partsFor(id job.ID) [partsPerJob]string {
+	primary := int(xxhash.Sum64String(string(id)) % requestPartCount)
+	var parts [partsPerJob]string
 	for n := range parts {
-		parts[n] = l.partOf((home + n*partStep) % requestParts)
+		parts[n] = l.partOf((primary + n*fallbackStride) % requestPartCount)
 	}
 	return parts
 }
@@ -42,30 +44,31 @@
 	return store.Key{Table: tableJobs, Part: part, Name: string(id) + cancelSuffix}
 }
 
-// inParts tries a write in one part after the other until one takes it. Where none does it may have taken effect only if
-// some try got no answer.
-func (l *Ledger) inParts(id job.ID, write func(part string) (out bool, err error)) error {
+// tryParts tries a write in each of a job's parts until one succeeds, or fails with an error for which other parts
+// need not be tried. If all fail, the error is store.ErrUnknown if the outcome of any attempt is unknown, as the
+// write may have taken effect; otherwise it is store.ErrRefused.
+func (l *Ledger) tryParts(id job.ID, write func(part string) (unavailable bool, err error)) error {
 	failed := store.ErrRefused
 	for _, part := range l.partsFor(id) {
-		out, err := write(part)
-		if err == nil || !isNoAnswer(err) && !errors.Is(err, store.ErrRefused) {
+		unavailable, err := write(part)
+		if err == nil || !isOutcomeUnknown(err) && !errors.Is(err, store.ErrRefused) {
 			return err
 		}
-		if isNoAnswer(err) {
+		if isOutcomeUnknown(err) {
 			failed = err
 		}
-		if !out {
+		if !unavailable {
 			break
 		}
 	}
 	return failed
 }
 
-func isNoAnswer(err error) bool { return errors.Is(err, store.ErrUnknown) }
+func isOutcomeUnknown(err error) bool { return errors.Is(err, store.ErrUnknown) }
 
-// away returns a part if it is not the first one of a job.
-func (l *Ledger) away(id job.ID, part string) string {
-	if part == l.homePart(id) {
+// fallbackPart returns part unless it is the job's primary part; then it returns an empty string.
+func (l *Ledger) fallbackPart(id job.ID, part string) string {
+	if part == l.primaryPart(id) {
 		return ""
 	}
 	return part
--- a/internal/ledger/rows_test.go
+++ b/internal/ledger/rows_test.go
@@ -67,8 +67,9 @@
 	storedStart     = ledger.Start{Number: 1, Name: "box-1/a", Address: "10.0.0.2:81"}
 )
 
-// TestStoredRowsKeepTheirBytes fails when a change of the code alters stored rows, as a renamed field can. The rows that
-// the ledger writes are compared with those in testdata/rows.txt, and those are read back as the values written.
+// TestStoredRowsKeepTheirBytes fails when a change of the code alters stored rows, as a renamed field can. The
+// rows that the ledger writes are compared with those in testdata/rows.txt, and those are read back as the values
+// written.
 func TestStoredRowsKeepTheirBytes(t *testing.T) {
 	raw, err := os.ReadFile("testdata/rows.txt")
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -94,7 +95,8 @@
 	})
 }
 
-// writeRows writes a row of each kind with every field set. The lease is released first, so that its last row has a holder.
+// writeRows writes a row of each kind with every field set. The lease is released first, so that its last row has
+// a holder.
 func writeRows(ctx context.Context, t *testing.T, l *ledger.Ledger) {
 	quicktest.Assert(t, l.Submit(ctx, &storedRequest), quicktest.IsNil)
 	quicktest.Assert(t, l.Cancel(ctx, "b"), quicktest.IsNil)
--- a/internal/ledger/size_test.go
+++ b/internal/ledger/size_test.go
@@ -10,10 +10,11 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// rowMost is the longest value of a row, in bytes (the platform's rowBytes).
-const rowMost = 65536
+// maxRowBytes is the store's limit for the value of a row, in bytes.
+const maxRowBytes = 65536
 
-// TestProgressFitsIntoARow: a job with as many tasks as it may have is one row, with names, starts, runs and saved states as long as they come.
+// TestProgressFitsIntoARow checks that the progress of a job with the maximum number of tasks fits into one row,
+// with worker names, run numbers and saved states as long as they get.
 func TestProgressFitsIntoARow(t *testing.T) {
 	p := &job.Progress{State: job.Running, GangRuns: make([]int, 64)}
 	for range job.MaxTasks {
@@ -23,11 +24,12 @@
 	}
 	raw, err := cbor.Marshal(p)
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Assert(t, len(raw) < rowMost, quicktest.IsTrue, quicktest.Commentf("%d bytes", len(raw)))
+	quicktest.Assert(t, len(raw) < maxRowBytes, quicktest.IsTrue, quicktest.Commentf("%d bytes", len(raw)))
 }
 
-// TestAddressesFitIntoRows: at 12,000 workers with long names the largest row of addresses is under half of what the store takes, so is all that one
-// worker's coming or going writes, and a batch with as many of these rows as it may have stays within a transaction.
+// TestAddressesFitIntoRows checks that, at 12,000 workers with long names, the largest row of addresses takes less
+// than half of the store's limit for a row. A worker that joins or leaves rewrites one such row. A batch with the
+// maximum number of such rows must fit into one transaction.
 func TestAddressesFitIntoRows(t *testing.T) {
 	rows := map[int]Addresses{}
 	for n := range 12000 {
@@ -44,7 +46,7 @@
 		quicktest.Assert(t, err, quicktest.IsNil)
 		largest = max(largest, len(raw))
 	}
-	quicktest.Check(t, largest < rowMost/2, quicktest.IsTrue, quicktest.Commentf("%d bytes", largest))
+	quicktest.Check(t, largest < maxRowBytes/2, quicktest.IsTrue, quicktest.Commentf("%d bytes", largest))
 	quicktest.Check(t, largest*MaxAddressRows < 1<<20/2, quicktest.IsTrue, quicktest.Commentf("%d bytes in a batch", largest*MaxAddressRows))
 	quicktest.Check(t, MaxBatchRows+2+MaxForgetRows+MaxAddressRows+3 <= 100, quicktest.IsTrue)
 }
--- a/internal/ledger/starts.go
+++ b/internal/ledger/starts.go
@@ -10,28 +10,29 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// tableStarts holds the newest start of each box.
+// tableStarts holds the latest start of each box.
 const tableStarts = "starts"
 
-// startParts is the number of parts that they are spread over, beside the scheduler's: a part works off one transaction after the other, and all boxes may
-// start at once.
-const startParts = 8
+// startPartCount is the number of parts over which starts are spread, apart from the scheduler's part. A part
+// executes one transaction at a time, and all boxes may start simultaneously.
+const startPartCount = 8
 
 func (l *Ledger) startKey(box string) store.Key {
-	part := l.Shard + "/starts/" + strconv.FormatUint(xxhash.Sum64String(box)%startParts, 10)
+	part := l.Shard + "/starts/" + strconv.FormatUint(xxhash.Sum64String(box)%startPartCount, 10)
 	return store.Key{Table: tableStarts, Part: part, Name: box}
 }
 
-// Start is one start of a box. Starts of a name are numbered by the store, so that no clock orders them.
+// Start is one start of a box. The starts of a box are numbered through the store, so that their order depends on
+// no clock.
 type Start struct {
 	_       struct{} `cbor:",toarray"`
-	Number  int64    // Rises with each start of the name, from 1.
+	Number  int64    // Increases with each start of the box, from 1.
 	Name    string   // Unique name of the start.
-	Address string   // Where the box passes on calls of others; empty where it does not.
+	Address string   // Address at which the box forwards store calls of other boxes; empty if it does not.
 }
 
-// Register makes a start the newest one of a box and returns it with its number, and the one before it. After an error it may be registered; registering it again is
-// right then.
+// Register records s as the latest start of a box. It returns the start with its number, and the start before it.
+// After an error the start may have been recorded; it is then safe to call Register again.
 func (l *Ledger) Register(ctx context.Context, box string, s Start) (own, before Start, err error) {
 	for {
 		version := int64(0)
@@ -39,7 +40,7 @@
 			return Start{}, Start{}, err
 		}
 		if before.Name == s.Name {
-			return before, Start{}, nil // An earlier try took effect.
+			return before, Start{}, nil // An earlier attempt took effect.
 		}
 		s.Number = before.Number + 1
 		raw, err := cbor.Marshal(s)
@@ -54,13 +55,13 @@
 		})
 		var conflict *store.Conflict
 		if errors.As(err, &conflict) {
-			continue // Another start was faster, or an earlier try has come late.
+			continue // Another start was recorded first, or an earlier attempt arrived late.
 		}
 		return s, before, err
 	}
 }
 
-// NewestStart reads the newest start of a box; the zero value where it has none.
+// NewestStart reads the latest start of a box; the zero value if there is none.
 func (l *Ledger) NewestStart(ctx context.Context, box string) (Start, error) {
 	s, _, err := l.newestStart(ctx, box)
 	return s, err
@@ -71,7 +72,7 @@
 	if err != nil {
 		return s, 0, err
 	}
-	if len(page.Rows) == 0 { // Earlier versions wrote it beside the scheduler's rows; its numbers go on from there.
+	if len(page.Rows) == 0 { // Earlier versions stored it in the scheduler's part; the numbers continue from there.
 		page, err = l.readOne(ctx, l.key(tableStarts, box))
 		if err != nil || len(page.Rows) == 0 {
 			return s, 0, err
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -1,4 +1,5 @@
-// Package life tells the lives of a worker apart: its process may start again under the name that it had, and holds and knows nothing of before then.
+// Package life identifies the incarnations of a worker. A worker's process may restart under the same name; it
+// then has none of the runs and none of the state from before.
 package life
 
 import (
@@ -10,27 +11,28 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ID names a life of a worker; the zero value names none.
+// ID identifies an incarnation of a worker: one start of its process. The zero value identifies none.
 type ID struct {
-	Worker string // Name of the worker, which all of its lives have.
-	Born   int64  // Unix time in milliseconds at which the process started, by the worker's own clock; 0 where that is not told.
+	Worker string // Name of the worker, the same for all of its incarnations.
+	Born   int64  // Unix time in milliseconds at which the process started, by the worker's clock; 0 if not reported.
 }
 
-// relation is how a life stands to another one.
+// relation is the relation of one incarnation to another.
 type relation int
 
 const (
-	stranger relation = iota // Of another worker.
-	same                     // The same life, or nothing tells the two apart.
+	otherWorker relation = iota // The two are of different workers.
+	same                        // The two are the same, or a start time that was not reported leaves it open.
 	later
 	earlier
 )
 
-// compare is the only place where lives are compared. A life whose start is not told may be any one of its worker.
+// compare returns the relation of l to o. All comparisons of incarnations go through it. An incarnation whose
+// start time was not reported may be any of its worker's.
 func (l ID) compare(o ID) relation {
 	switch {
 	case l.Worker != o.Worker:
-		return stranger
+		return otherWorker
 	case l.Born == o.Born || l.Born == 0 || o.Born == 0:
 		return same
 	case l.Born > o.Born:
@@ -39,13 +41,13 @@
 	return earlier
 }
 
-// Is reports whether two lives are one, as far as anything tells.
+// Is reports whether l and o are the same incarnation, or may be because a start time was not reported.
 func (l ID) Is(o ID) bool { return l.compare(o) == same }
 
-// Follows reports whether a life is a later one of the same worker, so that the other one is over.
+// Follows reports whether l is a later incarnation of the same worker, so that o no longer runs.
 func (l ID) Follows(o ID) bool { return l.compare(o) == later }
 
-// String is the life for people: a worker's name alone is one whose start is not told.
+// String returns the incarnation for logs; the worker's name alone if the start time was not reported.
 func (l ID) String() string {
 	if l.Born == 0 {
 		return l.Worker
@@ -54,43 +56,46 @@
 }
 
 const (
-	// rowMark stands between a worker's name and its start in rows; no name has it.
-	rowMark = "\x00"
-	// rowBase is the base of the start in rows: a job's row holds a life for each of up to 1,200 tasks.
-	rowBase = 36
+	// startSeparator separates a worker's name from the start time in stored rows. No worker's name contains it.
+	startSeparator = "\x00"
+	// startBase is the numeric base of the start time in stored rows. It keeps them short: the row of a job holds up
+	// to 1,200 incarnations.
+	startBase = 36
 )
 
-// rowText is the life as it stands in rows: the name alone, as in rows that were written before lives had a start, or with the start.
-func (l ID) rowText() string {
-	if l.Born == 0 && !strings.Contains(l.Worker, rowMark) {
+// encodedText returns the incarnation as stored in rows: the worker's name, followed by the start time if there is
+// one. Rows written before start times existed hold the name alone.
+func (l ID) encodedText() string {
+	if l.Born == 0 && !strings.Contains(l.Worker, startSeparator) {
 		return l.Worker
 	}
-	return l.Worker + rowMark + strconv.FormatInt(l.Born, rowBase)
+	return l.Worker + startSeparator + strconv.FormatInt(l.Born, startBase)
 }
 
 // MarshalCBOR implements cbor.Marshaler.
 func (l ID) MarshalCBOR() ([]byte, error) {
-	raw, err := cbor.Marshal(l.rowText())
-	return raw, errors.Wrap(err, "life: unable to encode a life")
+	raw, err := cbor.Marshal(l.encodedText())
+	return raw, errors.Wrap(err, "life: unable to encode an incarnation")
 }
 
 // UnmarshalCBOR implements cbor.Unmarshaler.
 func (l *ID) UnmarshalCBOR(raw []byte) error {
 	var text string
 	if err := cbor.Unmarshal(raw, &text); err != nil {
-		return errors.Wrap(err, "life: unable to decode a life")
+		return errors.Wrap(err, "life: unable to decode an incarnation")
 	}
-	at := strings.LastIndex(text, rowMark)
+	at := strings.LastIndex(text, startSeparator)
 	if at < 0 {
 		*l = ID{Worker: text}
 		return nil
 	}
-	born, err := strconv.ParseInt(text[at+len(rowMark):], rowBase, 64)
+	born, err := strconv.ParseInt(text[at+len(startSeparator):], startBase, 64)
 	*l = ID{Worker: text[:at], Born: born}
-	return errors.Wrap(err, "life: unable to decode a worker's start")
+	return errors.Wrap(err, "life: unable to decode a worker's start time")
 }
 
-// MarshalLogObject implements zapcore.ObjectMarshaler: the worker's name, and its start where that is told.
+// MarshalLogObject implements zapcore.ObjectMarshaler. It adds the worker's name, and the start time if it was
+// reported.
 func (l ID) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	e.AddString("worker", l.Worker)
 	if l.Born != 0 {
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -10,8 +10,8 @@
 
 func TestCompare(t *testing.T) {
 	for _, c := range []struct {
-		one, other  ID
-		is, follows bool
+		one, other     ID
+		matches, later bool
 	}{
 		{ID{"w", 2}, ID{"w", 1}, false, true},
 		{ID{"w", 1}, ID{"w", 2}, false, false},
@@ -22,12 +22,13 @@
 		{ID{"v", 2}, ID{"w", 1}, false, false},
 		{ID{"v", 0}, ID{"w", 0}, false, false},
 	} {
-		quicktest.Check(t, c.one.Is(c.other), quicktest.Equals, c.is, quicktest.Commentf("%v is %v", c.one, c.other))
-		quicktest.Check(t, c.one.Follows(c.other), quicktest.Equals, c.follows, quicktest.Commentf("%v follows %v", c.one, c.other))
+		quicktest.Check(t, c.one.Is(c.other), quicktest.Equals, c.matches, quicktest.Commentf("%v matches %v", c.one, c.other))
+		quicktest.Check(t, c.one.Follows(c.other), quicktest.Equals, c.later, quicktest.Commentf("%v is later than %v", c.one, c.other))
 	}
 }
 
-// TestOldRows: rows that were written before lives had a start hold the worker's name as a text.
+// TestOldRows checks that rows written before start times existed, which hold a worker's name as text, can be
+// read, and that an incarnation without a start time is still written in this way.
 func TestOldRows(t *testing.T) {
 	old, err := cbor.Marshal(map[string]string{"i-1": "10.0.0.1:80"})
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -41,7 +42,8 @@
 	quicktest.Check(t, name, quicktest.Equals, "i-1")
 }
 
-// TestRows: a life is read as it was written, also as the key of a map, and whatever its worker is named.
+// TestRows checks that every incarnation is read back as it was written, also as the key of a map, whatever the
+// worker's name.
 func TestRows(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		l := ID{Worker: rapid.OneOf(rapid.StringMatching(`[a-z0-9/@-]{0,12}`), rapid.String()).Draw(r, "worker"), Born: rapid.Int64Min(0).Draw(r, "born")}
--- a/internal/queue/halls.go
+++ b/internal/queue/halls.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Instructions is all that the operator has put in force, as of one moment.
+// Instructions are the operator's settings as of one moment.
 type Instructions struct {
-	Configuration *Configuration // nil for none yet.
-	Emptied       []string       // Halls that get nothing new, sorted.
-	Version       int64          // The store's newest version at that moment.
+	Configuration *Configuration // nil if there is none yet.
+	Emptied       []string       // Halls in which nothing new starts, sorted.
+	Version       int64          // The store's latest version at that moment.
 }
 
-// Halls is which halls are emptied: nothing new starts there until the operator takes them back; what runs there runs on.
-// The zero value knows nothing.
+// Halls records which halls the operator has emptied. Nothing new starts there until the operator reopens them;
+// runs that have started there continue. The zero value means that the operator's instructions were not read yet.
 type Halls struct {
 	Emptied []string  // Sorted.
-	AsOf    time.Time // Nothing that the operator said before then is missing; zero before the first look.
+	AsOf    time.Time // Time of the read: it includes every instruction given before. Zero before the first read.
 }
 
 // IsEmptied reports whether a hall is emptied.
@@ -25,7 +25,7 @@
 	return found
 }
 
-// AllEmptied reports whether each of some halls is emptied; false for none.
+// AllEmptied reports whether all of the given halls are emptied; false for an empty list.
 func (h *Halls) AllEmptied(halls []string) bool {
 	return len(halls) > 0 && !slices.ContainsFunc(halls, func(hall string) bool { return !h.IsEmptied(hall) })
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,4 +1,4 @@
-// Package queue is the configuration that the operator puts in force: queues, services, workspaces and their keys.
+// Package queue holds the operator's configuration: queues, services, workspaces and their keys.
 package queue
 
 import (
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// Configuration is one version of what the operator wants, whole.
+// Configuration is one complete version of the operator's configuration.
 type Configuration struct {
 	Version    int64
 	Queues     []Queue
 	Services   []Service
 	Workspaces []Workspace
-	BodyBytes  int64 // Largest body of a request; 0 for no limit of its own.
+	BodyBytes  int64 // Maximum size of a request body in bytes; 0 for no configured limit.
 }
 
-// Queue takes jobs of one kind for one service.
+// Queue accepts jobs of one kind for one service.
 type Queue struct {
 	Name      string
 	Host      string
-	Prefix    string // Path prefix.
+	Prefix    string // Prefix of the URL path.
 	Service   string
-	Anonymous bool // Callers need no key.
-	Priority  int  // 0 goes first.
-	Attempts  int  // Failed runs after which a job has failed.
-	Stretch   float64
-	Objective time.Duration
-	Timeout   time.Duration // Longest time for an answer; 0 for none.
+	Anonymous bool          // Callers need no key.
+	Priority  int           // 0 is the highest priority.
+	Attempts  int           // Number of failed runs after which a job fails.
+	Stretch   float64       // Allowed duration of a job, as a multiple of its longest chain of dependent work.
+	Objective time.Duration // Time added to the allowed duration.
+	Timeout   time.Duration // Maximum time for an answer; 0 for no limit.
 }
 
-// Service is a pool of like workers.
+// Service is a pool of identical workers.
 type Service struct {
 	Name   string
-	Guards bool // Its workers refuse what does not fit.
-	Spare  bool // Its machines are off until moved to another pool.
+	Guards bool // Its workers reject tasks that do not fit.
+	Spare  bool // Its machines are powered off until moved to another pool.
 }
 
-// Workspace is a customer with a guarantee.
+// Workspace is a customer with guaranteed capacity.
 type Workspace struct {
 	Name       string
 	Keys       []string
-	Guaranteed int64 // Accelerators for its jobs of priority 0.
+	Guaranteed int64 // Accelerators guaranteed to its jobs of priority 0.
 }
 
-// Find returns the queue of a host and path, by the longest prefix; nil where there is none.
+// Find returns the queue for a host and URL path, the one with the longest matching prefix; nil if there is none.
 func (c *Configuration) Find(host, path string) *Queue {
 	var best *Queue
 	for i := range c.Queues {
@@ -58,7 +58,7 @@
 	return best
 }
 
-// Authenticate returns the workspace of a key, false where the key is not known.
+// Authenticate returns the workspace that a key belongs to; false if the key is unknown.
 func (c *Configuration) Authenticate(key string) (string, bool) {
 	if key == "" {
 		return "", false
