--- a/internal/job/failures.go
+++ b/internal/job/failures.go
@@ -2,11 +2,11 @@
 
 // failureCounter records which runs have failed, so that each failed run is counted once, however often its end is
 // reported and whichever box counted the others. Boxes of an earlier version stored only the number of failed
-// runs, not which. After a takeover from such a box, a failure of an inherited run is counted only once more
-// inherited runs are known to have failed than the stored number. The zero value is ready for use.
+// runs, not which. After a takeover from such a box, the failure of an inherited run is counted only if more
+// inherited runs are known to have failed than were counted before. The zero value is ready for use.
 type failureCounter struct {
-	counted   map[failedRun]bool
-	inherited []inheritedRuns // By task index; nil for a job without stored progress.
+	knownFailed map[failedRun]bool
+	inherited   []inheritedRuns // By task index; nil for a job without stored progress.
 }
 
 // maxStoredFailedRuns is the maximum number of failed runs that are stored for the next scheduler; with the
@@ -54,13 +54,13 @@
 // loadFailedRuns loads the stored failed runs. A list longer than the task's count of failures belongs to an
 // earlier job of the same name and is discarded.
 func (l *Life) loadFailedRuns() {
-	for place, runs := range l.Progress.FailedRuns {
-		if place < 0 || place >= len(l.Progress.Tasks) || len(runs) > l.Progress.Tasks[place].Failures {
-			delete(l.Progress.FailedRuns, place)
+	for index, runs := range l.Progress.FailedRuns {
+		if index < 0 || index >= len(l.Progress.Tasks) || len(runs) > l.Progress.Tasks[index].Failures {
+			delete(l.Progress.FailedRuns, index)
 			continue
 		}
 		for _, run := range runs {
-			l.failures.record(failedRun{place, run})
+			l.failures.record(failedRun{index, run})
 		}
 	}
 }
@@ -71,15 +71,15 @@
 }
 
 func (f *failureCounter) record(r failedRun) {
-	if f.counted == nil {
-		f.counted = map[failedRun]bool{}
+	if f.knownFailed == nil {
+		f.knownFailed = map[failedRun]bool{}
 	}
-	f.counted[r] = true
+	f.knownFailed[r] = true
 }
 
 // recordNew records that a run has failed and reports whether the run is certainly not counted yet.
 func (f *failureCounter) recordNew(r failedRun) bool {
-	if f.counted[r] {
+	if f.knownFailed[r] {
 		return false
 	}
 	f.record(r)
@@ -90,10 +90,10 @@
 }
 
 // inheritedFailures returns how many of a task's inherited runs are known to have failed.
-func (f *failureCounter) inheritedFailures(place int) int {
+func (f *failureCounter) inheritedFailures(index int) int {
 	n := 0
-	for r := range f.counted {
-		if r.taskIndex == place && r.run <= f.inherited[place].lastRun {
+	for r := range f.knownFailed {
+		if r.taskIndex == index && r.run <= f.inherited[index].lastRun {
 			n++
 		}
 	}
@@ -107,18 +107,18 @@
 	if l.Request.Steps[g.Step].Lasting {
 		return false
 	}
-	place := l.firstTaskIndex(g)
+	index := l.firstTaskIndex(g)
 	if l.Request.Steps[g.Step].Gang {
 		last := &l.Progress.GangRuns[g.Occurrence*len(l.Request.Steps)+g.Step]
 		*last = max(*last, run)
 	} else {
-		place += t.Index
+		index += t.Index
 	}
-	if !l.failures.recordNew(failedRun{place, run}) {
+	if !l.failures.recordNew(failedRun{index, run}) {
 		return false
 	}
-	l.storeFailedRun(place, run)
-	p := &l.Progress.Tasks[place]
+	l.storeFailedRun(index, run)
+	p := &l.Progress.Tasks[index]
 	p.Failures++
 	if p.Failures >= max(l.Request.Terms.Attempts, 1) && !l.Progress.State.Final() {
 		l.setFailed(t, FailedTooOften, p.Failures)
@@ -127,12 +127,12 @@
 }
 
 // storeFailedRun adds a counted run to the progress, up to maxStoredFailedRuns.
-func (l *Life) storeFailedRun(place, run int) {
+func (l *Life) storeFailedRun(index, run int) {
 	if l.Progress.FailedRuns.Total() >= maxStoredFailedRuns {
 		return
 	}
 	if l.Progress.FailedRuns == nil {
 		l.Progress.FailedRuns = FailedRuns{}
 	}
-	l.Progress.FailedRuns[place] = append(l.Progress.FailedRuns[place], run)
+	l.Progress.FailedRuns[index] = append(l.Progress.FailedRuns[index], run)
 }
--- a/internal/job/losses.go
+++ b/internal/job/losses.go
@@ -90,8 +90,8 @@
 }
 
 // TaskAt returns the task with an index in the progress.
-func (l *Life) TaskAt(place int) Task {
-	t := Task{Job: l.Request.ID, Occurrence: place / l.tasksPerOccurrence, Index: place % l.tasksPerOccurrence}
+func (l *Life) TaskAt(index int) Task {
+	t := Task{Job: l.Request.ID, Occurrence: index / l.tasksPerOccurrence, Index: index % l.tasksPerOccurrence}
 	for t.Step+1 < len(l.stepOffsets) && t.Index >= l.stepOffsets[t.Step+1] {
 		t.Step++
 	}
