--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -75,14 +75,14 @@
 // MarshalCBOR implements cbor.Marshaler.
 func (l ID) MarshalCBOR() ([]byte, error) {
 	raw, err := cbor.Marshal(l.encodedText())
-	return raw, errors.Wrap(err, "life: unable to encode an incarnation")
+	return raw, errors.Wrap(err, "incarnation: unable to encode an incarnation")
 }
 
 // UnmarshalCBOR implements cbor.Unmarshaler.
 func (l *ID) UnmarshalCBOR(raw []byte) error {
 	var text string
 	if err := cbor.Unmarshal(raw, &text); err != nil {
-		return errors.Wrap(err, "life: unable to decode an incarnation")
+		return errors.Wrap(err, "incarnation: unable to decode an incarnation")
 	}
 	at := strings.LastIndex(text, startSeparator)
 	if at < 0 {
@@ -91,7 +91,7 @@
 	}
 	born, err := strconv.ParseInt(text[at+len(startSeparator):], startBase, 64)
 	*l = ID{Worker: text[:at], Born: born}
-	return errors.Wrap(err, "life: unable to decode a worker's start time")
+	return errors.Wrap(err, "incarnation: unable to decode a worker's start time")
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler. It adds the worker's name, and the start time if it was
