--- a/internal/scheduler/clock_test.go
+++ b/internal/scheduler/clock_test.go
@@ -13,12 +13,12 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// slowClock is a worker whose clock is 2% slow; it takes starts and answers none of them.
+// slowClock is a worker whose clock is 2% slow. It records the lease of each start.
 type slowClock struct {
 	fleet.Orders
 	born  time.Time
 	looks int
-	lease int64 // As the last start named it.
+	lease int64 // Lease of the last start.
 }
 
 func (s *slowClock) clock() int64 { return 1 + int64(0.98*float64(time.Since(s.born).Milliseconds())) }
@@ -33,8 +33,9 @@
 	return s.clock(), nil
 }
 
-// TestAnIdleWorkersClockIsReadAnew: a worker had nothing to do for long, and its clock was reckoned from its last answer. The first lease there was named by a clock that had run ahead, and
-// counted as over half a minute after it was.
+// TestAnIdleWorkersClockIsReadAnew fails if the clock of a worker that was idle for long is extrapolated from its
+// last answer. The first lease there was then set by a clock that had run ahead, and counted as expired half a minute
+// late.
 func TestAnIdleWorkersClockIsReadAnew(t *testing.T) {
 	for _, c := range []struct {
 		idle  time.Duration
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -13,16 +13,17 @@
 	"go.uber.org/zap"
 )
 
-// uncommitted is what the next batches are collected from.
+// uncommitted holds the changes from which the next batches are built.
 type uncommitted struct {
-	dirty    map[job.ID]bool          // Jobs whose progress is to be committed.
-	underWay map[job.ID]*job.Progress // What is being committed.
-	launches []*run                   // Placed runs to be ordered once they are committed.
-	dropped  []ledger.Forgotten       // Jobs whose requests are deleted and whose progress is to be.
-	pending  map[string]int           // Jobs by queue of which nothing was started, as last committed.
+	dirty    map[job.ID]bool          // Jobs whose progress has changed since it was last committed.
+	underWay map[job.ID]*job.Progress // Progress in the batch that is being committed.
+	launches []*run                   // Placed runs whose start commands are sent once the placement is committed.
+	dropped  []ledger.Forgotten       // Jobs whose requests were deleted and whose progress rows have to be deleted.
+	pending  map[string]int           // Number of jobs by queue that have not started anything, as last committed.
 }
 
-// commitLoop decides and commits until the tenure is over.
+// commitLoop makes decisions and commits until the lease is lost or ctx ends, and releases the lease in the latter
+// case.
 func (h *shard) commitLoop(ctx context.Context) error {
 	lastCommit := time.Time{}
 	pause := retryPause
@@ -58,6 +59,7 @@
 	return h.replaced
 }
 
+// nextWake returns how long to wait until the next commit or decision is due.
 func (h *shard) nextWake(lastCommit time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,20 +70,21 @@
 	return max(wait, time.Millisecond)
 }
 
-// flight is a batch with what is to happen once it is committed.
+// flight is a batch and the actions to take once it is committed.
 type flight struct {
 	batch    ledger.Batch
-	launches []*run
-	applied  map[*listedEnds]applied // Ends that the batch takes note of.
+	launches []*run                  // Runs to start.
+	applied  map[*listedEnds]applied // Ends reported by workers whose effects are committed with the batch.
 }
 
-// applied is up to which of a worker's ends all are taken in.
+// applied is the number up to which all ends reported by a worker have been applied.
 type applied struct {
 	worker *workerState
 	upTo   int64
 }
 
-// prepare decides and collects what is to be committed; nil where there is nothing.
+// prepare makes a decision if one is due and builds the next batch. It returns nil if there is nothing to commit and
+// no heartbeat is due.
 func (h *shard) prepare(beat bool) *flight {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,7 +119,8 @@
 	return f
 }
 
-// collect adds the launches that the batch covers, and the ends that are taken note of once no progress is left over.
+// collect adds the runs whose placement is in the batch. Once no changed progress is left over, it also adds the ends
+// that can be acknowledged to the workers.
 func (h *shard) collect(f *flight) {
 	var later []*run
 	for _, r := range h.launches {
@@ -145,7 +149,8 @@
 	return &c
 }
 
-// commit writes a batch and then sets off what had to wait for it.
+// commit writes a batch to the store and runs its follow-up actions. If that fails, it puts the changes back for the
+// next batch.
 func (h *shard) commit(ctx context.Context, f *flight) error {
 	began, slept := time.Now(), h.sleptSoFar()
 	timed, cancel := context.WithTimeout(ctx, commitTimeout)
@@ -157,7 +162,7 @@
 		h.restore(f)
 		h.storeOut = time.Now()
 		if !errors.Is(err, ledger.ErrReplaced) {
-			h.Log.Warn("scheduler: unable to commit", logsink.Error(err), zap.Int("rows", len(f.batch.Progress)))
+			h.Log.Warn("scheduler: commit failed; retrying", logsink.Error(err), zap.Int("rows", len(f.batch.Progress)))
 		}
 		return err
 	}
@@ -165,7 +170,7 @@
 	return nil
 }
 
-// committed sets off what had to wait for a batch.
+// committed starts the follow-up actions of a committed batch: it acknowledges ends and starts runs.
 func (h *shard) committed(f *flight, began time.Time, slept time.Duration) {
 	h.held, h.heldSlept, h.underWay = began, slept, nil
 	h.marks.add(h.tenure.Version(), began)
@@ -178,11 +183,11 @@
 	}
 }
 
-// restore puts back what a failed commit had taken.
+// restore puts the changes of a failed batch back, so that the next batch contains them.
 func (h *shard) restore(f *flight) {
 	h.underWay = nil
 	for id := range f.batch.Progress {
-		if h.jobs[id] != nil { // Else it was forgotten, and its rows are deleted.
+		if h.jobs[id] != nil { // Otherwise the job was dropped and its rows are deleted.
 			h.dirty[id] = true
 		}
 	}
@@ -196,10 +201,11 @@
 	}
 }
 
-// releaseTimeout bounds the give-back of a lease at a planned stop; past it the others find out by its silence.
+// releaseTimeout limits the release of the lease at a planned stop. If it fails, the other boxes notice that the
+// heartbeats have stopped.
 const releaseTimeout = 500 * time.Millisecond
 
-// giveBack commits what is left and gives the lease back.
+// giveBack commits the remaining changes, up to ledger.MaxBatchRows, and releases the lease.
 func (h *shard) giveBack() error {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
@@ -218,7 +224,7 @@
 	return err
 }
 
-// countPending counts, by queue, the jobs of which nothing was started.
+// countPending returns the number of jobs by queue that have not started anything.
 func (h *shard) countPending() map[string]int {
 	pending := map[string]int{}
 	for _, j := range h.jobs {
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -9,17 +9,19 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// listedEnds is how far the ends that a worker lists are dealt with, by their numbers.
+// listedEnds records how far the ends that a worker reports have been processed, by their numbers.
 type listedEnds struct {
-	applied      int64 // Up to which all are taken in.
-	acknowledged int64 // Of the last one whose effect is committed.
-	told         int64 // Of the last one that the worker was told to forget.
+	applied      int64 // All ends up to this number have been applied.
+	acknowledged int64 // Number of the last end whose effect is committed.
+	told         int64 // Number of the last end that the worker was told to forget.
 }
 
-// toldWithin is how long after a worker's last answer it is told to forget ends. A process takes longer to start again, so that no later life hears of it, which has numbers of its own.
+// toldWithin is how long after a worker's last answer it may be told to forget ends. A restart takes longer than
+// that, so a later incarnation, which numbers its ends anew, never receives the number.
 const toldWithin = 250 * time.Millisecond
 
-// toForget is the number up to which a worker is to be told to forget ends, 0 where it has been told, or where another life may hear of it.
+// toForget returns the number up to which a worker should forget its ends, or 0 if it was already told or if another
+// incarnation might receive the number.
 func (w *workerState) toForget() int64 {
 	if w.told >= w.acknowledged || w.failures > 0 || !w.isCertain() || time.Since(w.lookedAt) > toldWithin {
 		return 0
@@ -27,9 +29,9 @@
 	return w.acknowledged
 }
 
-// takeEnds takes in the ends that a worker lists, also those of runs that were given up, and in a report that was overtaken: that a task is
-// done, or that an attempt failed, holds whoever hears of it when. Passed over and acknowledged, such ends are lost, and the task
-// runs again.
+// takeEnds applies the ends that a worker reports, including those of runs that were presumed ended and those in a
+// report that was overtaken by a newer one. A task that is done, or a failed attempt, counts no matter when it is
+// reported. If such ends were skipped and acknowledged, they would be lost and the task would run again.
 func (h *shard) takeEnds(w *workerState, report *fleet.Report) {
 	for i := range report.Ended {
 		if e := &report.Ended[i]; e.Number > w.applied {
@@ -39,15 +41,17 @@
 	w.applied = takenUpTo(w.applied, report)
 }
 
-// takeFormerEnds takes in the ends that an earlier life of a worker had listed. Their numbers say nothing of those of the present one.
+// takeFormerEnds applies the ends reported by an earlier incarnation of a worker. Their numbers are unrelated to
+// those of the current incarnation.
 func (h *shard) takeFormerEnds(w *workerState, report *fleet.Report) {
 	for i := range report.Ended {
 		h.takeEnd(w, report.Life, &report.Ended[i])
 	}
 }
 
-// takenUpTo is the number up to which nothing is left to take in once the ends of a report are. A whole list leaves out only what the worker was told
-// to forget. Of one that was cut short, those after a gap are taken in again.
+// takenUpTo returns the number up to which all ends have been applied after those of a report were. A complete list
+// leaves out only the ends that the worker was told to forget. In a truncated list, ends after a gap are not counted
+// and will be applied again.
 func takenUpTo(before int64, report *fleet.Report) int64 {
 	numbers := make([]int64, 0, len(report.Ended))
 	for i := range report.Ended {
@@ -61,7 +65,7 @@
 		return max(before, numbers[len(numbers)-1])
 	}
 	if before == 0 {
-		before = numbers[0] - 1 // A predecessor had it forget the others.
+		before = numbers[0] - 1 // A predecessor told it to forget the earlier ones.
 	}
 	for _, n := range numbers {
 		if n == before+1 {
@@ -71,7 +75,7 @@
 	return before
 }
 
-// takeEnd takes in an end that a life of a worker lists.
+// takeEnd applies an end that an incarnation of a worker reports.
 func (h *shard) takeEnd(w *workerState, l life.ID, e *fleet.End) {
 	r := w.runs[e.Task]
 	found := r != nil && r.number == e.Run && r.life.Is(l)
@@ -87,8 +91,8 @@
 	h.noteUnfollowed(line)
 }
 
-// endPast takes in the end of a run that is not followed any more and reports whether it changed anything. What still runs of a task that is done by it is
-// stopped.
+// endPast applies the end of a run that is no longer tracked and reports whether it changed anything. If it finishes
+// a task, other runs of that task are stopped.
 func (h *shard) endPast(w *workerState, e *fleet.End) bool {
 	j := h.jobs[e.Task.Job]
 	if j == nil {
@@ -112,7 +116,7 @@
 	return true
 }
 
-// stopDone stops the later runs of a group's tasks that are done by an earlier one.
+// stopDone stops runs of a group's tasks that were finished by an earlier run.
 func (h *shard) stopDone(j *liveJob, g job.Group) {
 	for _, w := range h.workers {
 		for task, r := range w.runs {
@@ -126,7 +130,8 @@
 	}
 }
 
-// noteFailedAt notes that a run of a group failed on a worker, or surely never began there; others are tried before it.
+// noteFailedAt records that a run of a group failed on a worker, or certainly never began there if failed is false.
+// Other workers are tried first.
 func (j *liveJob) noteFailedAt(g job.Group, worker string, failed bool) {
 	if j.avoid[g] == nil {
 		j.avoid[g] = map[string]bool{}
--- a/internal/scheduler/ends_test.go
+++ b/internal/scheduler/ends_test.go
@@ -14,10 +14,10 @@
 	"github.com/pulleyring/pulleyring/internal/script"
 )
 
-// TestListedEndsCount plays the cases of testdata/ends.txt. A box placed a task, took its worker for gone and placed the task elsewhere. The worker
-// lived: it listed the first run as done, or as failed, and the box had it forget that end though it had changed nothing, as only ends of
-// runs that were followed did. So a task that was done ran to its end once more, and failed runs were no attempts. On a worker that was back the box
-// logged "stopping a run ... nobody placed it here" for a run that it had placed there itself.
+// TestListedEndsCount runs the cases of testdata/ends.txt. It fails if the end of a run is ignored that was presumed
+// ended but whose worker was still alive. A box placed such a task elsewhere and acknowledged the reported end
+// without applying it, so that finished tasks ran again and failed runs did not count as attempts. It also logged
+// runs that it had placed itself as "nobody placed it here".
 func TestListedEndsCount(t *testing.T) {
 	for _, c := range script.Cases(t, "testdata/ends.txt") {
 		p := &reportCase{h: keptShard(), workers: map[string]*workerState{}}
@@ -25,10 +25,10 @@
 	}
 }
 
-// reportCase is a shard as a case has brought it about; it never sends anything, as no worker has an address.
+// reportCase is the shard of a case. It never sends anything, as no worker has an address.
 type reportCase struct {
 	h       *shard
-	workers map[string]*workerState // Their last lives, also those that were given up.
+	workers map[string]*workerState // Last incarnation of each worker, including those declared lost.
 }
 
 func (c *reportCase) step(words []string) error {
@@ -93,7 +93,7 @@
 func (c *reportCase) place(names []string) error {
 	demands := c.h.takeView(time.Now()).Demands
 	if len(demands) != 1 || len(demands[0].Waiting) != len(names) {
-		return errors.Errorf("scheduler: %+v waits", demands)
+		return errors.Errorf("scheduler: unexpected waiting demands: %+v", demands)
 	}
 	workers := map[int]string{}
 	for n, i := range demands[0].Waiting {
@@ -106,7 +106,7 @@
 func (c *reportCase) report(words []string) error {
 	clock, err := strconv.ParseInt(words[1], 10, 64)
 	if err != nil {
-		return errors.Wrap(err, "scheduler: no clock")
+		return errors.Wrap(err, "scheduler: clock is not a number")
 	}
 	w := c.workers[words[0]]
 	report, told := fleet.Report{Life: w.life, Clock: clock}, int64(0)
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// addEnd adds an end to a report; a word that is none belongs to the outcome before.
+// addEnd adds an end to a report. The word "broken" changes the outcome of the previous end.
 func addEnd(report *fleet.Report, word string) error {
 	e, how := fleet.End{Task: job.Task{Job: "j"}}, ""
 	if word == "broken" {
@@ -146,19 +146,19 @@
 		return nil
 	}
 	if _, err := fmt.Sscanf(word, "%d:%d/%d:%s", &e.Number, &e.Task.Index, &e.Run, &how); err != nil {
-		return errors.Wrap(err, "scheduler: no end")
+		return errors.Wrap(err, "scheduler: invalid end")
 	}
 	e.Outcome = map[string]job.Outcome{"succeeded": job.Succeeded, "failed": job.FailedRun, "stopped": job.Stopped, "gang": job.GangBroken}[how]
 	report.Ended = append(report.Ended, e)
 	return nil
 }
 
-// commit has everything committed, and checks that no end would be acknowledged before what it changed is.
+// commit commits all changes and checks that no end would be acknowledged before its effect is committed.
 func (c *reportCase) commit() error {
 	dirty := c.h.dirty["j"]
 	f := c.h.prepare(true)
 	if dirty && f.batch.Progress["j"] == nil {
-		return errors.New("scheduler: the progress is left out")
+		return errors.New("scheduler: the batch lacks the job's progress")
 	}
 	for ends, a := range f.applied {
 		ends.acknowledged = a.upTo
@@ -169,7 +169,7 @@
 func (c *reportCase) expect(words []string) error {
 	j := c.h.jobs["j"]
 	got, want := "", strings.Join(words[2:], " ")
-	index, _ := strconv.Atoi(words[1]) // No number but for a task's.
+	index, _ := strconv.Atoi(words[1]) // Only a task's words have a number.
 	task := j.Tasks(job.Group{})[index]
 	switch words[0] {
 	case "state":
@@ -186,12 +186,12 @@
 		return errors.Errorf("scheduler: unknown step %q", words[0])
 	}
 	if got != want {
-		return errors.Errorf("scheduler: it is %q", got)
+		return errors.Errorf("scheduler: got %q", got)
 	}
 	return nil
 }
 
-// followed lists what is followed on a worker.
+// followed lists the tracked runs of a worker.
 func followed(w *workerState) string {
 	var list []string
 	for t, r := range w.runs {
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -6,8 +6,8 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// estimates learns how long tasks really take: step by step once a task of the step has told its progress, and queue by
-// queue for the others; and how much work a queue's jobs bring. Its zero value is ready.
+// estimates learns how long tasks really take: for each step once a task of it has reported progress, and for each
+// queue for steps without reports. It also learns the mean work of a queue's jobs. The zero value is ready to use.
 type estimates struct {
 	queues map[string]*learned
 	steps  map[claimKey]*mean
@@ -23,15 +23,17 @@
 	m.value += (x - m.value) / m.count
 }
 
+// learned holds what was learned from the jobs of one queue.
 type learned struct {
-	ratio float64 // Real run time over the declared one, smoothed; 0 before the first.
-	work  mean    // Core-seconds of a job, as declared.
-	times guess   // How long tasks run, step by step.
+	ratio float64 // Real run time divided by the declared one, smoothed; 0 before the first run.
+	work  mean    // Declared core-seconds of a job.
+	times guess   // Run times of tasks, one for each step.
 }
 
-// smoothing is the weight of the newest run in the learned ratio.
+// smoothing is the weight of the newest run in learned.ratio.
 const smoothing = 0.1
 
+// of returns what was learned about a queue.
 func (e *estimates) of(queue string) *learned {
 	if e.queues == nil {
 		e.queues = map[string]*learned{}
@@ -44,15 +46,15 @@
 	return l
 }
 
-// stepOf names a step of a job, over all occurrences.
+// stepOf returns the key of a step of a job. It is the same for all occurrences.
 func stepOf(id job.ID, step int) claimKey { return claimKey{id, job.Group{Step: step}} }
 
-// seen takes a new job into the mean work of its queue.
+// seen adds a new job to the mean work of its queue.
 func (e *estimates) seen(r *job.Request) {
 	e.of(r.Terms.Queue).work.add(declaredWork(r))
 }
 
-// ran takes in how long a run took, or will take at the rate at which it works.
+// ran records how long a run took, or will take at its current rate.
 func (e *estimates) ran(r *job.Request, step int, took time.Duration) {
 	if e.steps == nil {
 		e.steps = map[claimKey]*mean{}
@@ -74,7 +76,7 @@
 	l.ratio += smoothing * (ratio - l.ratio)
 }
 
-// task is how long a task of a step should take.
+// task returns the expected run time of a task of a step.
 func (e *estimates) task(r *job.Request, step int) time.Duration {
 	if m := e.steps[stepOf(r.ID, step)]; m != nil {
 		return max(seconds(m.value), leastEstimate)
@@ -83,7 +85,7 @@
 	return max(l.times.blend(l.corrected(r.Steps[step].Estimate)), leastEstimate)
 }
 
-// corrected is a declared run time times what real ones were of declared ones.
+// corrected returns a declared run time, scaled by the queue's ratio of real to declared run times.
 func (l *learned) corrected(declared time.Duration) time.Duration {
 	if l.ratio > 0 {
 		return time.Duration(float64(declared) * l.ratio)
@@ -91,16 +93,18 @@
 	return declared
 }
 
-// leastEstimate bounds what is reckoned with; a run takes a few tens of milliseconds of orders alone.
+// leastEstimate is the shortest run time that is estimated. The commands of a run alone take a few tens of
+// milliseconds.
 const leastEstimate = 100 * time.Millisecond
 
-// forget drops what was learned of a job's steps.
+// forget removes what was learned about a job's steps.
 func (e *estimates) forget(r *job.Request) {
 	for s := range r.Steps {
 		delete(e.steps, stepOf(r.ID, s))
 	}
 }
 
+// declaredWork returns the declared core-seconds of a job over all its occurrences.
 func declaredWork(r *job.Request) float64 {
 	sum := 0.0
 	for i := range r.Steps {
@@ -110,7 +114,7 @@
 	return sum * float64(r.Occurrences())
 }
 
-// chain is the expected time of the longest chain of steps, from a step on.
+// chain returns the expected time of the longest chain of dependent steps that begins at a step.
 func (e *estimates) chain(r *job.Request, from int) time.Duration {
 	longest := make([]time.Duration, len(r.Steps))
 	for s := len(r.Steps) - 1; s >= from; s-- {
@@ -127,7 +131,7 @@
 	return longest[from]
 }
 
-// whole is the expected time of a job's longest chain.
+// whole returns the expected time of a job's longest chain of dependent steps.
 func (e *estimates) whole(r *job.Request) time.Duration {
 	longest := time.Duration(0)
 	for s := range r.Steps {
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -6,20 +6,23 @@
 	"github.com/pulleyring/pulleyring/internal/interval"
 )
 
-// slowFeed is how long a store that is well takes at most to answer a feed that has something to tell in few words: some 10 ms.
+// slowFeed is the longest time that a healthy store needs to answer a waiting feed call once there are a few changes
+// to report. It usually takes some 10 ms.
 const slowFeed = 100 * time.Millisecond
 
-// fewNews is how many records change at one moment at most, as those of a rack of eight workers may: an answer with more was not that to a call that had waited. Between two
-// answers 1,100 workers write some 200.
+// fewNews is the largest number of records that may change at the same moment, such as those of a rack of eight
+// workers. A call whose answer has more changes did not wait for them: 1,100 workers write some 200 records between
+// two answers.
 const fewNews = 8
 
-// feedAge follows how old the news of a feed may be.
+// feedAge tracks how old the changes reported by a feed may be.
 type feedAge struct {
-	whole time.Time // All that was written before has been read.
+	whole time.Time // Everything written before this time has been read.
 }
 
-// took takes in an answer that came at a time to a call that began before, and returns the time since when what it tells was written. A call that waits is answered as
-// soon as there is something to tell: one with much news did not wait, however late its answer came. More says that the answer was full and left something out.
+// took records an answer that came at the given time to a call that began before, and returns the time after which
+// the reported changes were written. A waiting call is answered as soon as there is a change. An answer with many
+// changes therefore did not wait, however late it came. more says that the answer was full and left changes out.
 func (f *feedAge) took(began, at time.Time, news int, more bool) time.Time {
 	newest, asOf := began, f.whole
 	if waited := at.Add(-slowFeed); news <= fewNews && waited.After(began) {
@@ -34,7 +37,8 @@
 	return asOf
 }
 
-// followWorkers takes in the workers' records as they change after a version; age is that of what was read before.
+// followWorkers watches the store for changes of workers' records after a version and applies them. age is the age of
+// what was read before. When the feed is quiet for too long, it reads all records.
 func (h *shard) followWorkers(version int64, age feedAge) {
 	for h.ctx.Err() == nil {
 		began := time.Now()
--- a/internal/scheduler/follow_test.go
+++ b/internal/scheduler/follow_test.go
@@ -12,7 +12,8 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// fullDirectory has so many full answers before the last one, which comes after the others were taken in.
+// fullDirectory returns a number of full answers and then others that are not full. It calls done when asked again
+// after the first of those.
 type fullDirectory struct {
 	full  int
 	asked []time.Time
@@ -31,7 +32,8 @@
 	return Listing{Workers: []fleet.Worker{{ID: "w"}}, More: len(d.asked) <= d.full}, nil
 }
 
-// TestFullAnswersAreFollowedAtOnce: while the answers about workers are full, news of them waits at the store.
+// TestFullAnswersAreFollowedAtOnce fails if the scheduler pauses after a full answer about workers, while further
+// changes wait at the store.
 func TestFullAnswersAreFollowedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, done := context.WithCancel(context.Background())
@@ -51,8 +53,9 @@
 	})
 }
 
-// TestAgeOfNews: a worker that leaves tells how much time it has left, counted from when it wrote that. Counted from when a box read it, the last runs there
-// ended in the last ms of its process, with nobody to hear of it.
+// TestAgeOfNews fails if the age of reported changes is computed wrongly. A departing worker announces its remaining
+// time, counted from when it wrote its record. When it was counted from when a box read the record, the last runs
+// ended in the last ms of the worker's process and their ends were not reported.
 func TestAgeOfNews(t *testing.T) {
 	const ms = time.Millisecond
 	begin := time.Now()
@@ -80,7 +83,8 @@
 	}
 }
 
-// lateDirectory answers its calls after so long each, without having waited, with the news of many workers, and tells in the last answer that one of them, w, leaves.
+// lateDirectory answers each call after a given time, without having waited for a change, with the changes of many
+// workers. The last answer says that worker w is departing.
 type lateDirectory struct {
 	takes []time.Duration
 	asked []time.Time
@@ -104,15 +108,16 @@
 	return l, nil
 }
 
-// TestALateAnswerTellsOldNews: an answer that came 0.1 s after its call was taken for one that had waited for news, and its news for no older than that. With 1,100 workers, and a
-// store that turned some boxes away, it was a late answer to a call that had not waited: what workers had said 0.4 s before counted as said just then, and they were cleared so
-// late that the ends of 60 to 90 runs were not heard of, which then waited 5 s for the leases.
+// TestALateAnswerTellsOldNews fails if a late answer to a call that did not wait counts as recent changes. An answer
+// that came 0.1 s after its call was taken for one that had waited. With 1,100 workers and a store that rejected some
+// boxes' calls, records that were 0.4 s old counted as just written. Workers were drained so late that the ends of 60
+// to 90 runs were not reported, and those waited 5 s for the leases to expire.
 func TestALateAnswerTellsOldNews(t *testing.T) {
 	for _, late := range []time.Duration{0, 110 * time.Millisecond, 400 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			h, w := silentShard()
-			w.clock = 0 // Nobody looks there.
+			w.clock = 0 // No poll is sent.
 			d := &lateDirectory{takes: []time.Duration{0, late}}
 			h.Directory, h.ctx = d, ctx
 			h.ordering.Go(func() { h.followWorkers(0, feedAge{}) })
--- a/internal/scheduler/halls.go
+++ b/internal/scheduler/halls.go
@@ -8,19 +8,20 @@
 	"go.uber.org/zap"
 )
 
-// orderReserve is left of the time after which nothing more may start in an emptied hall: an order that is on its way is given up
-// after 0.7 s.
+// orderReserve is the safety margin before the time after which nothing may start in an emptied hall. A command under
+// way is given up after 0.7 s.
 const orderReserve = time.Second
 
-// openHalls tells where work may start. What is known of emptied halls has an age: once an instruction that nobody has read yet
-// could be in force, nothing may start anywhere. Without that bound work that came as the store was back
-// after 8 s without it began in a hall that was emptied meanwhile. The zero value closes every hall.
+// openHalls decides in which halls work may start. The list of emptied halls has an age: once an instruction that has
+// not been read yet could be in force, nothing may start in any hall. Without that limit, work submitted after an 8 s
+// outage of the store was started in a hall that had been emptied during the outage. The zero value closes every
+// hall.
 type openHalls struct {
 	queue.Halls
-	Within time.Duration // After a hall was emptied nothing may start there; 0 for no bound.
+	Within time.Duration // Time after a hall was emptied after which nothing may start there; 0 for no limit.
 }
 
-// known reports whether nothing that must be heeded by now can be missing.
+// known reports whether the list is recent enough that no instruction in force can be missing.
 func (o *openHalls) known(now time.Time) bool {
 	if o.AsOf.IsZero() {
 		return false
@@ -33,27 +34,27 @@
 	return o.known(now) && !o.IsEmptied(hall)
 }
 
-// seenHalls is what the last decision knew of emptied halls.
+// seenHalls holds what the last decision knew about emptied halls.
 type seenHalls struct {
 	emptied []string
-	unknown bool // It was too old.
+	unknown bool // The list was too old.
 }
 
-// openHalls is what is known now.
+// openHalls returns the halls that are open now.
 func (h *shard) openHalls() openHalls {
 	if h.Halls == nil {
-		return openHalls{Halls: queue.Halls{AsOf: time.Now()}} // A scheduler without an operator.
+		return openHalls{Halls: queue.Halls{AsOf: time.Now()}} // Without an operator no hall is ever emptied.
 	}
 	return openHalls{h.Halls(), h.Bounds.Emptied}
 }
 
-// takeHalls takes in where work may start as of a decision. Room that was claimed in a hall that is emptied now is given up, so
-// that other room is looked for at once and not when the claim lapses, up to 8 s later.
+// takeHalls returns the halls that are open at a decision. It drops reservations in halls that are now emptied, so
+// that other capacity is sought at once and not when the reservation expires, up to 8 s later.
 func (h *shard) takeHalls(now time.Time) openHalls {
 	halls := h.openHalls()
 	if known := halls.known(now); known == h.halls.unknown {
 		h.halls.unknown = !known
-		h.Log.Warn("scheduler: whether emptied halls are known", zap.Bool("known", known), zap.Time("as_of", halls.AsOf))
+		h.Log.Warn("scheduler: state of emptied halls became known or unknown; nothing starts while it is unknown", zap.Bool("known", known), zap.Time("as_of", halls.AsOf))
 	}
 	if slices.Equal(halls.Emptied, h.halls.emptied) {
 		return halls
@@ -68,7 +69,7 @@
 	return halls
 }
 
-// claimsIn reports whether claimed room is in an emptied hall.
+// claimsIn reports whether a reservation includes a worker in an emptied hall.
 func (h *shard) claimsIn(c *claimed, halls *openHalls) bool {
 	for _, worker := range c.workers {
 		if w := h.workers[worker]; w != nil && halls.IsEmptied(w.Hall) {
@@ -78,8 +79,8 @@
 	return false
 }
 
-// withdraw takes a placement back whose start may not be sent any more: nothing of it ran if no try was sent before, and
-// otherwise it is stopped. A gang begins anew as a whole.
+// withdraw takes back a placement whose start must not be sent any more. If no try was sent before, the run never
+// began; otherwise it is stopped. A gang starts again as a whole.
 func (h *shard) withdraw(w *workerState, r *run, try int, why string) {
 	h.Log.Info("scheduler: start withdrawn", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(r.life),
 		zap.String("hall", w.Hall), zap.Int("try", try), zap.String("why", why))
--- a/internal/scheduler/held.go
+++ b/internal/scheduler/held.go
@@ -7,33 +7,33 @@
 	"github.com/pulleyring/pulleyring/internal/placement"
 )
 
-// held is what runs and can be stopped as a whole: a gang, or one task.
+// held is an allocation: a gang or a single task that runs and can be stopped as a whole.
 type held struct {
-	at       int // Its place among the holdings.
+	at       int // Its index in the list of allocations.
 	runs     []*run
-	places   []int // Seats of the runs' workers.
+	places   []int // Worker indexes of the runs.
 	stopping bool
-	stale    bool // The outlook is to be reckoned anew: a run was added, or a worker told of its progress.
+	stale    bool // The forecast is out of date: a run was added or removed, or a worker reported progress.
 	outlook
 }
 
-// outlook is what is expected of a holding, whatever the time is.
+// outlook is the part of an allocation's forecast that does not depend on the current time.
 type outlook struct {
 	ends       time.Time
-	knownUntil time.Time     // Until then the end follows from told progress.
-	chain      time.Duration // From its start to the end of its job.
-	goal       time.Time     // Ended by then, its job earns all it can.
-	atRisk     float64       // What the job loses if it misses that.
+	knownUntil time.Time     // Until then the end follows from reported progress.
+	chain      time.Duration // Expected time from its start to the end of its job.
+	goal       time.Time     // Time until which the job earns its full value.
+	atRisk     float64       // Value that the job loses if it misses the goal.
 }
 
-// holdings is everything that runs. It is kept as runs come, go and tell their progress: collecting all runs of 1,100
-// workers anew for each decision, 30 times a second, took 4.8 ms on one core (BenchmarkView). The zero value is empty.
+// holdings holds all allocations. It is updated as runs start, end and report progress: collecting all runs of 1,100
+// workers for each decision, 30 times a second, took 4.8 ms on one core (BenchmarkView). The zero value is empty.
 type holdings struct {
 	list  []*held
 	gangs map[claimKey]*held
 }
 
-// add takes in a run that was placed.
+// add adds a run that was placed.
 func (x *holdings) add(r *run) {
 	held := x.of(r)
 	held.runs = append(held.runs, r)
@@ -43,7 +43,8 @@
 	r.held = held
 }
 
-// of is the holding that a run belongs to, a new one where there is none. A stray run is no part of the gang that runs now.
+// of returns the allocation of a run and creates it if there is none. An orphaned run does not belong to the current
+// run of its gang.
 func (x *holdings) of(r *run) *held {
 	gang := r.job.Request.Steps[r.task.Step].Gang && !r.stray
 	key := claimKey{r.task.Job, r.group()}
@@ -61,7 +62,7 @@
 	return added
 }
 
-// drop takes out a run whose end is known.
+// drop removes a run that has ended.
 func (x *holdings) drop(r *run) {
 	held := r.held
 	r.held = nil
@@ -82,7 +83,7 @@
 	}
 }
 
-// reseat notes where everything runs after the seats of workers have changed.
+// reseat updates the worker indexes of all runs after workers were renumbered.
 func (x *holdings) reseat() {
 	for _, held := range x.list {
 		for i, r := range held.runs {
@@ -91,7 +92,7 @@
 	}
 }
 
-// holdingView is a holding as decisions see it.
+// holdingView returns an allocation as decisions see it.
 func (h *shard) holdingView(x *held, now time.Time) placement.Holding {
 	if x.stale {
 		x.outlook, x.stale = h.outlook(x), false
@@ -104,13 +105,14 @@
 	}
 }
 
-// lossOf is the core-seconds that stopping a holding throws away.
+// lossOf returns the core-seconds of work that are lost if an allocation is stopped.
 func (h *shard) lossOf(x *held, now time.Time) float64 {
 	r := x.runs[0]
 	return float64(len(x.runs)) * h.loss(r, &r.job.Request.Steps[r.task.Step], now)
 }
 
-// outlook reckons what is expected of a holding. A gang ends with its last member, and that is known once all have told.
+// outlook computes the forecast of an allocation. A gang ends with its last member; its end is known once all members
+// have reported progress.
 func (h *shard) outlook(x *held) outlook {
 	r := x.runs[0]
 	request := r.job.Request
@@ -130,7 +132,8 @@
 	return o
 }
 
-// risk is the value that a job loses if a holding of it starts anew: nothing where it is late or in time either way.
+// risk returns the value that a job loses if one of its allocations is restarted. It is zero if the job is late, or
+// on time, in either case.
 func (h *shard) risk(x *held, now time.Time) float64 {
 	late := x.runs[0].placed.Add(x.chain).After(x.goal)
 	early := now.Add(h.Bounds.StopTime + restartDelay + x.chain).Before(x.goal)
--- a/internal/scheduler/held_test.go
+++ b/internal/scheduler/held_test.go
@@ -16,8 +16,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestKeptViewEqualsOneCollectedAnew draws what happens to jobs, runs and workers, and holds the view that is kept as it
-// happens against one that is collected from nothing.
+// TestKeptViewEqualsOneCollectedAnew fails if the view that is updated with each event differs from one that is built
+// from scratch, after random events of jobs, runs and workers.
 func TestKeptViewEqualsOneCollectedAnew(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := keptShard()
@@ -31,12 +31,13 @@
 	})
 }
 
-// keptShard is a shard without a store: nothing it would send is sent.
+// keptShard returns a shard without a store and without connections to workers.
 func keptShard() *shard {
 	none := func() *queue.Configuration { return nil }
 	return newShard(context.Background(), &Scheduler{Log: zap.NewNop(), Configuration: none}, nil)
 }
 
+// drawEvent applies a random event to the shard.
 func drawEvent(r *rapid.T, h *shard, n int) {
 	now := time.Now()
 	switch rapid.SampledFrom([]string{"worker", "job", "place", "place", "end", "stop", "tell", "leave"}).Draw(r, "event") {
@@ -73,7 +74,7 @@
 	}
 }
 
-// drawPlacement starts a group that waits on drawn workers.
+// drawPlacement places a random waiting group on random workers.
 func drawPlacement(r *rapid.T, h *shard, now time.Time) {
 	view := h.takeView(now)
 	if len(view.Demands) == 0 || len(view.Workers) == 0 {
@@ -87,7 +88,7 @@
 	h.place(&d, workers, now)
 }
 
-// drawRun draws a run whose end is not known, nil where there is none.
+// drawRun returns a random run that has not ended, or nil if there is none.
 func drawRun(r *rapid.T, h *shard) *run {
 	var all []*run
 	for _, id := range slices.Sorted(maps.Keys(h.workers)) {
@@ -103,12 +104,13 @@
 	return all[rapid.IntRange(0, len(all)-1).Draw(r, "run")]
 }
 
-// collected is what a view should say of a holding.
+// collected is the expected view of an allocation.
 type collected struct {
-	workers  []string // Sorted, once for each task.
+	workers  []string // Sorted, one entry for each task.
 	stopping bool
 }
 
+// compareView checks the updated view against one that is built from the workers' runs.
 func compareView(r *rapid.T, h *shard) {
 	view := h.takeView(time.Now())
 	want := map[string]*collected{}
@@ -140,7 +142,7 @@
 	}
 }
 
-// holdingKey names the holding that a run belongs to.
+// holdingKey returns the key of the allocation that a run belongs to.
 func holdingKey(id job.ID, g job.Group, index int, j *liveJob) string {
 	if j.Request.Steps[g.Step].Gang {
 		index = -1
@@ -148,6 +150,7 @@
 	return fmt.Sprint(id, g, index)
 }
 
+// compareHolding checks an allocation of the view against the expected one and against its runs' expected ends.
 func compareHolding(r *rapid.T, h *shard, view *placement.View, i int, want map[string]*collected) {
 	got := &view.Holdings[i]
 	first := h.holdings.list[i].runs[0]
@@ -173,7 +176,7 @@
 			knownUntil = known
 		}
 	}
-	// What is not known follows the estimates as they were at the holding's last event.
+	// If the end is not known, it follows from the estimates at the allocation's last event, and is not compared.
 	if got.Known != !view.Now.After(knownUntil) || got.Known && got.Remaining != max(ends.Sub(view.Now), 0) {
 		r.Fatalf("%+v, want %v known until %v", got, ends, knownUntil)
 	}
--- a/internal/scheduler/home_test.go
+++ b/internal/scheduler/home_test.go
@@ -12,8 +12,10 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// TestAnotherLifeElsewhereAfterATakeover: a box takes over while a worker's record tells another address than the one at which its predecessor reached it, as another writer's record does
-// until the worker's next one. Another worker there answers that it is another life; that was taken for the end of all that ran on the first.
+// TestAnotherLifeElsewhereAfterATakeover fails if an answer from a different address ends the runs of a worker after
+// a takeover. The record may hold another address than the one at which the predecessor reached the worker, for
+// example while another writer's record is in its place. A worker at that address answers as another incarnation,
+// which was taken as the end of all runs.
 func TestAnotherLifeElsewhereAfterATakeover(t *testing.T) {
 	for _, c := range []struct {
 		name, before, recorded string
@@ -26,7 +28,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			h := keptShard()
 			ended, cancel := context.WithCancel(context.Background())
-			cancel() // Nobody looks there.
+			cancel() // No poll is sent.
 			h.ctx = ended
 			h.addresses.begin(ledger.Addresses{life.ID{Worker: "w"}: c.before})
 			h.addJob(&job.Request{ID: "j", Steps: []job.Step{{Count: 1}}}, &job.Progress{
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -3,54 +3,61 @@
 import "time"
 
 const (
-	// leaseLength is how long leases are renewed for, where the site allows as much. What runs on a worker that falls silent is started elsewhere once its
-	// lease is surely over, and waits for each second more; with too few, work ends while the boxes take over from each other. Between 4, 6, 8 and 10 s the
-	// mean worth of 20 days with faults differs by 0.001 at each of two sites, with a standard error of 0.009 to 0.011.
+	// leaseLength is the time for which leases on workers are renewed, if the site allows that much. Runs of a silent
+	// worker are started elsewhere only once its lease has certainly expired, so each second delays them. If leases
+	// are too short, work ends during takeovers between boxes. Between 4, 6, 8 and 10 s the mean value of 20 days
+	// with faults differs by 0.001 at each of two sites, with a standard error of 0.009 to 0.011.
 	leaseLength = 6 * time.Second
-	// leavingLength is the same on a worker that leaves, or whose record is gone: it falls silent soon, and its runs end with it in any case.
+	// leavingLength is the same for a worker that is departing or whose record was removed: it will soon be silent,
+	// and its runs end with it in any case.
 	leavingLength = 2500 * time.Millisecond
-	// renewedFor is how long after its last commit a tenure renews leases: one that was replaced and can't hear of it must end some time, as its
-	// successor can't reach every worker that it can. In an outage of the store what runs lives on for that long and a lease more.
+	// renewedFor is how long after its last commit a lease term may renew leases on workers. A box that was replaced
+	// and has not noticed must stop at some time, because its successor may be unable to reach every worker that it
+	// can reach. In an outage of the store, runs continue for this time plus one lease.
 	renewedFor = 8 * time.Second
-	// killSlack is how much later than a stop may take a worker has ended what its lease allowed: for processes on a busy machine.
+	// killSlack is how much longer than the stop time a worker may need to end its runs after its lease has expired,
+	// as processes on a busy machine are late.
 	killSlack = 300 * time.Millisecond
 )
 
-// tenureTimes is what the tenure knows of itself, which bounds the leases that it renews and those that a predecessor may have.
+// tenureTimes holds the times that limit which leases on workers this box may renew, and how long a predecessor's
+// leases may last.
 type tenureTimes struct {
-	held      time.Time     // When the last commit that succeeded was begun: the lease was surely held at some time after.
-	heldSlept time.Duration // How long the machine had been suspended in all by then.
-	marks     marks         // The last commits, by the store's versions.
-	quiet     time.Time     // No predecessor committed anything after that.
-	storeOut  time.Time     // When a call to the store failed last.
+	// Start of the last successful commit. The shard's lease was certainly held at some time after that.
+	held      time.Time
+	heldSlept time.Duration // Total time that the machine had been suspended by then.
+	marks     marks         // The last commits with the versions that the store gave them.
+	quiet     time.Time     // No predecessor committed anything after this time.
+	storeOut  time.Time     // Time of the last failed call to the store.
 	replaced  bool          // Another box holds the lease.
 }
 
-// leases is what is known of the leases on a worker.
+// leases holds what is known about the leases on a worker.
 type leases struct {
-	own  bool      // It has taken an order with this tenure's token: no predecessor renews any there.
-	over time.Time // By then all that runs there has surely ended, unless leases are renewed.
+	// The worker has accepted a command with this lease term's token, so no predecessor can renew its leases.
+	own  bool
+	over time.Time // By then all runs on the worker have certainly ended, unless leases are renewed.
 }
 
-// extend takes in that leases may run until a moment.
+// extend records that leases may last until a given time.
 func (l *leases) extend(until time.Time) {
 	if until.After(l.over) {
 		l.over = until
 	}
 }
 
-// slowed is how long a worker's clock takes at most to show that a time has passed.
+// slowed returns the longest time until a worker's clock, which may be slow, has advanced by d.
 func slowed(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + clockDrift)) }
 
-// endsWithin is how long after its lease's end by its own clock a worker has surely ended all that ran.
+// endsWithin returns how long after its lease has expired, by its own clock, a worker has certainly ended all runs.
 func (b *Bounds) endsWithin() time.Duration { return b.StopTime + killSlack }
 
-// longestLease is by when all leases are over that were renewed until a moment, whoever did.
+// longestLease returns when all runs have certainly ended whose leases were renewed until a given time, by any box.
 func (b *Bounds) longestLease(renewed time.Time) time.Time {
 	return renewed.Add(slowed(b.MaxLease) + b.endsWithin())
 }
 
-// lease is for how long leases on a worker are renewed.
+// lease returns the time for which leases on a worker are renewed.
 func (b *Bounds) lease(leaving bool) time.Duration {
 	if leaving {
 		return min(leavingLength, b.MaxLease)
@@ -58,11 +65,12 @@
 	return min(leaseLength, b.MaxLease)
 }
 
-// leaves reports whether a worker leaves: it said so, or its record is gone.
+// leaves reports whether a worker is departing: it has announced that, or its record was removed.
 func (w *workerState) leaves() bool { return w.Draining || !w.listed }
 
-// renew returns until when, by a worker's clock, an order may renew its leases, and takes in that they may run until then. It is 0 where
-// they are not renewed: the tenure's last commit is too long ago, stops are owed to the worker, or another life of it may carry the order out.
+// renew returns the time, in ms of the worker's clock, until which a command may renew the worker's leases, and
+// records that they may last until then. It returns 0 if they must not be renewed: the last commit of the lease term
+// is too long ago, stops are pending for the worker, or another incarnation of it might execute the command.
 func (h *shard) renew(w *workerState) int64 {
 	now := time.Now()
 	renewed := now
@@ -77,7 +85,8 @@
 	return w.clock + until.Sub(w.clockAt).Milliseconds()
 }
 
-// tookOrder takes in that a worker has carried out an order of this tenure: it refuses those of predecessors from now on.
+// tookOrder records that a worker has executed a command of this lease term. From now on it refuses commands of
+// predecessors.
 func (h *shard) tookOrder(w *workerState) {
 	if !w.leases.own {
 		w.leases = leases{own: true, over: h.Bounds.longestLease(time.Now())}
@@ -85,10 +94,11 @@
 	}
 }
 
-// sleptSince is how long the machine has been suspended since it had been for so long in all: the clock has not counted it.
+// sleptSince returns how long the machine has been suspended since the total was before. The monotonic clock does not
+// count that time.
 func (h *shard) sleptSince(before time.Duration) time.Duration { return max(h.sleptSoFar()-before, 0) }
 
-// sleptSoFar is how long the machine has been suspended in all, as far as anything tells.
+// sleptSoFar returns the total time that the machine has been suspended, or 0 if it can't be measured.
 func (h *shard) sleptSoFar() time.Duration {
 	if h.Slept == nil {
 		return 0
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -8,20 +8,21 @@
 	"pgregory.net/rapid"
 )
 
-// slowWorker is a worker's lease as the pages have it: on its own clock, which may be slow, never longer than a time, and never shortened.
+// slowWorker is a model of a worker's lease as specified: it runs by the worker's clock, which may be slow, is never
+// longer than the given limit and is never shortened.
 type slowWorker struct {
 	born  time.Time
-	rate  float64 // Of its clock, to ours.
-	most  time.Duration
-	lease time.Time // When it is over, by our clock.
+	rate  float64       // Speed of its clock relative to ours.
+	most  time.Duration // Longest lease that it grants.
+	lease time.Time     // Expiry time by our clock.
 }
 
-// clock is what the worker's clock shows at a time.
+// clock returns the worker's clock in ms at a given time.
 func (s *slowWorker) clock(at time.Time) int64 {
 	return 1 + int64(s.rate*float64(at.Sub(s.born))/float64(time.Millisecond))
 }
 
-// carryOut takes in an order that renews the lease, at the time at which it is carried out.
+// carryOut executes a command that renews the lease, at the given time.
 func (s *slowWorker) carryOut(until int64, at time.Time) {
 	left := min(milliseconds(until-s.clock(at)), s.most)
 	if over := at.Add(time.Duration(float64(left) / s.rate)); over.After(s.lease) {
@@ -29,17 +30,17 @@
 	}
 }
 
-// milliseconds is a number of them on a worker's clock.
+// milliseconds returns the duration of n ms.
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// drawn is a time of up to a length.
+// drawn returns a random duration of at most the given length.
 func drawn(r *rapid.T, name string, most time.Duration) time.Duration {
 	return milliseconds(rapid.Int64Range(0, most.Milliseconds()).Draw(r, name))
 }
 
-// TestNoLeaseOutlivesWhatIsKnownOfIt: what runs on a silent worker is taken for over by what is known of its lease. Orders are drawn that are carried out late,
-// answers that are late and overtake each other, clocks that are slow, commits that stop, and a worker that leaves: whoever renewed it, and however late, the lease has
-// ended, with the longest stop after it, by the time that its box reckons with, and by the time that a successor does.
+// TestNoLeaseOutlivesWhatIsKnownOfIt fails if runs on a silent worker are presumed ended before its lease and the
+// longest stop are over, by its own box or by a successor. It draws late commands, late answers that overtake each
+// other, slow clocks, missing commits and departing workers.
 func TestNoLeaseOutlivesWhatIsKnownOfIt(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		bounds := Bounds{MaxLease: 2*time.Second + drawn(r, "longest lease", 10*time.Second), StopTime: drawn(r, "stop", 2*time.Second)}
@@ -64,10 +65,11 @@
 			}
 			worker.carryOut(until, time.Now().Add(drawn(r, "order under way", 9*time.Second)))
 			stopped := worker.lease.Add(bounds.StopTime)
-			if late := stopped.Add(killSlack).Sub(w.leases.over); late > 0 { // Slack is for busy machines, not for slow clocks.
+			// The slack is for busy machines, not for slow clocks.
+			if late := stopped.Add(killSlack).Sub(w.leases.over); late > 0 {
 				r.Fatalf("all ends %v after it was counted as over", late)
 			}
-			// No commit came after the last one, and a successor saw that at the earliest just then.
+			// No commit came after the last one; a successor saw that just then at the earliest.
 			if late := stopped.Sub(bounds.longestLease(h.held.Add(renewedFor))); late > 0 {
 				r.Fatalf("all ends %v after a successor counted it as over", late)
 			}
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -11,37 +11,39 @@
 	"go.uber.org/zap"
 )
 
-// claimKey names the group that room is being freed for.
+// claimKey identifies a group of a job.
 type claimKey struct {
 	job   job.ID
 	group job.Group
 }
 
-// claimed is room that is being freed.
+// claimed is capacity that is reserved for a waiting group until running work there has ended.
 type claimed struct {
-	workers  map[int]string
-	until    time.Time // After that the plan is made anew.
-	draining bool
+	workers  map[int]string // Worker names by the index of the task.
+	until    time.Time      // When the reservation expires and a new plan is made.
+	draining bool           // No work is preempted for the reservation.
 }
 
-// plans is what decisions remember of groups that wait.
+// plans holds what decisions remember about waiting groups.
 type plans struct {
-	claims     map[claimKey]claimed
-	noPlan     map[claimKey]time.Time // Until when no room is looked for.
-	waitLogged map[claimKey]time.Time // When it was last logged why a group waits.
+	claims     map[claimKey]claimed   // Capacity that is reserved.
+	noPlan     map[claimKey]time.Time // Until when no new plan to free capacity is made.
+	waitLogged map[claimKey]time.Time // When the reason for waiting was last logged.
 }
 
-// claimSlack is how much longer than a stop a claim is kept: two commits and the talk with the worker.
+// claimSlack is how much longer than a stop a reservation is kept. It covers two commits and the commands to the
+// worker.
 const claimSlack = 600 * time.Millisecond
 
-// planRetry is how long no other way to make room is looked for after none was found; looking is the costly part of a
-// decision.
+// planRetry is the delay before another plan to free capacity is made after none was found. Planning is the costly
+// part of a decision.
 const planRetry = 250 * time.Millisecond
 
-// drainFor is how long room drains for a gang before another place is looked for: about as long as bulk work runs.
+// drainFor is how long a reservation without preemption is kept for a gang before another place is sought: about as
+// long as batch work runs.
 const drainFor = 8 * time.Second
 
-// pass has placement decide and takes in what it decided.
+// pass makes a placement decision and applies it: it stops preempted work, keeps reservations and places what starts.
 func (h *shard) pass() {
 	h.changed = false
 	now := time.Now()
@@ -68,7 +70,7 @@
 			kept = drainFor
 		}
 		h.claims[claimKey{d.Job, d.Group}] = claimed{c.Workers, now.Add(kept), c.Draining}
-		h.Log.Info("scheduler: room is being freed", zap.String("job", string(d.Job)), zap.String("workspace", d.Workspace),
+		h.Log.Info("scheduler: reserving capacity", zap.String("job", string(d.Job)), zap.String("workspace", d.Workspace),
 			zap.Duration("waited", now.Sub(d.Since)), zap.Int("stops", len(out.Stops)), zap.Bool("draining", c.Draining))
 	}
 	for _, i := range out.NoPlans {
@@ -81,10 +83,10 @@
 	}
 }
 
-// waitLogEvery is how often it is logged why a group of tasks still waits.
+// waitLogEvery is the interval at which the reason why a group still waits is logged.
 const waitLogEvery = 5 * time.Second
 
-// logWaits logs why the groups that have waited for long still do, each once in a while.
+// logWaits logs why groups that have waited for at least waitLogEvery still wait, each at most once per waitLogEvery.
 func (h *shard) logWaits(view *placement.View, out *placement.Outcome, now time.Time) {
 	started := map[int]bool{}
 	for _, s := range out.Starts {
@@ -106,7 +108,7 @@
 	}
 }
 
-// place notes a placement; it is ordered once it is committed.
+// place records a placement. The start commands are sent once it is committed.
 func (h *shard) place(d *placement.Demand, workers map[int]string, now time.Time) {
 	j := h.jobs[d.Job]
 	delete(h.claims, claimKey{d.Job, d.Group})
@@ -143,7 +145,8 @@
 		zap.Int("far", far), zap.Strings("racks", slices.Sorted(maps.Keys(racks))))
 }
 
-// isFar reports whether a run takes longer than elsewhere: away from its data, or of a gang that is spread over racks.
+// isFar reports whether a run takes longer than elsewhere: its data is in another rack, or its gang is spread over
+// several racks.
 func isFar(step *job.Step, racks map[string]bool, rack string) bool {
 	if step.Gang && step.RackLocal && len(racks) > 1 {
 		return true
@@ -151,7 +154,7 @@
 	return step.DataRack != "" && step.DataRack != rack
 }
 
-// loss is the core-seconds that stopping a run throws away.
+// loss returns the core-seconds of work that are lost if a run is stopped.
 func (h *shard) loss(r *run, step *job.Step, now time.Time) float64 {
 	lost := now.Sub(r.placed)
 	if step.Checkpoints {
@@ -160,14 +163,14 @@
 	return lost.Seconds() * r.each.Cores()
 }
 
-// restartDelay is how long stopped work is expected to wait for room again.
+// restartDelay is how long stopped work is expected to wait until it can start again.
 const restartDelay = 2 * time.Second
 
-// checkpointLoss is the work that is lost at a stop of a run that saves its state: at a stop it saves once more, so that
-// only the stop itself and the restore are lost.
+// checkpointLoss is the work time lost when a run that saves its state is stopped. The run saves once more at a stop,
+// so that only the times to stop and to restore are lost.
 const checkpointLoss = 500 * time.Millisecond
 
-// anyWaiting reports whether a group of tasks waits, now or for its time.
+// anyWaiting reports whether any group of tasks waits for capacity or for its due time.
 func (h *shard) anyWaiting() bool {
 	now := time.Now().UnixMilli()
 	for _, j := range h.jobs {
--- a/internal/scheduler/patience.go
+++ b/internal/scheduler/patience.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// quietGaps is how many times the usual time between two changes a feed may tell of nothing before the rows are read: at
-	// random, a gap of 8 times the mean comes once in 3,000.
+	// quietGaps is how many times the mean gap between two changes a feed may be quiet before the rows are read. For
+	// random arrivals, a gap of 8 times the mean occurs once in 3,000.
 	quietGaps = 8
-	// quietLeast and quietMost bound that. A feed can be deaf for a second and more, and then end without a word; reading all
-	// rows costs nine calls and more.
+	// quietLeast and quietMost limit the time that a feed may be quiet. A feed can miss changes for a second or more
+	// and then end without an error; reading all rows costs at least nine calls to the store.
 	quietLeast = 200 * time.Millisecond
 	quietMost  = 700 * time.Millisecond
-	// gapWeight is the weight of the newest gap.
+	// gapWeight is the weight of the newest gap in the mean gap.
 	gapWeight = 0.1
 )
 
-// patience is how long a feed may be quiet, by how often it has told of changes. At 25 jobs a second and a feed that was deaf for
-// a second, 58 jobs were seen up to 1.6 s late with quietMost alone. The zero value has that patience.
+// patience computes how long a feed may be quiet from how often it has reported changes. With a fixed limit of
+// quietMost, 25 jobs a second and a feed that missed changes for a second, 58 jobs were noticed up to 1.6 s late. The
+// zero value allows quietMost.
 type patience struct {
-	gap    time.Duration // Between two changes, smoothed; 0 before the first.
-	silent int           // Waits in a row without a change.
+	gap    time.Duration // Mean time between two changes, smoothed; 0 before the first change.
+	silent int           // Number of successive waits without a change.
 }
 
-// quiet is how long to wait for the next change.
+// quiet returns how long to wait for the next change.
 func (p *patience) quiet() time.Duration {
 	if p.gap == 0 {
 		return quietMost
@@ -33,7 +34,7 @@
 	return min(wait, quietMost)
 }
 
-// told takes in that a feed told of changes after a wait.
+// told records that a feed reported changes after a wait.
 func (p *patience) told(changes int, after time.Duration) {
 	p.silent = 0
 	gap := after / time.Duration(max(changes, 1))
@@ -43,5 +44,5 @@
 	p.gap += time.Duration(gapWeight * float64(gap-p.gap))
 }
 
-// heardNothing takes in a wait without a change: the next one is longer, as there may be nothing to tell.
+// heardNothing records a wait without a change. The next wait is longer, as there may be no changes to report.
 func (p *patience) heardNothing() { p.silent++ }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// rateWindow is the least time over which a run's rate is measured: a worker tells its progress in whole percent, and
-	// the longest tasks take about 10 s.
+	// rateWindow is the shortest time over which the rate of a run is measured. Workers report progress in whole
+	// percent, and the longest tasks take about 10 s.
 	rateWindow = 800 * time.Millisecond
-	// rateShare is the least progress that a rate is measured from, unless rateWindowMost is over.
+	// rateShare is the least progress from which a rate is measured, unless rateWindowMost has passed.
 	rateShare      = 0.04
 	rateWindowMost = 3 * time.Second
-	// staleAfter is the age from which what was told of a run's progress says nothing about its end.
+	// staleAfter is the age from which reported progress is no longer used to predict the end of a run.
 	staleAfter = 5 * time.Second
-	// stallSeen is how long a run must have stood still, by its worker's own account, before it counts as stalled: more
-	// than a look takes.
+	// stallSeen is how long a run must have made no progress, according to its worker's reports, before it counts as
+	// stalled. It is longer than a poll takes.
 	stallSeen = 1200 * time.Millisecond
-	// stallShare is the progress that it should have made in that time, at the rate that is expected of it: three of the
-	// steps in which progress is told.
+	// stallShare is the progress that a stalled run should have made in the meantime at its expected rate: three of
+	// the whole percents in which progress is reported.
 	stallShare = 0.03
-	// stallPatience is the least time that a stalled run is left alone: many stalls pass, and a restart costs what was done.
+	// stallPatience is the shortest time before a stalled run is stopped. Many stalls pass, and a restart loses the
+	// work done.
 	stallPatience = 2500 * time.Millisecond
-	// stallDoubt is what a stalled run counts as a worker's failure, and what one of a gang does, of whose workers one is
-	// to blame.
+	// stallDoubt is what a stalled run adds to its worker's failure score. A stalled gang adds stallDoubtGang to each
+	// of its workers, of which only one is to blame.
 	stallDoubt     = 1.5
 	stallDoubtGang = 0.5
 )
 
-// progress is what a worker told of how much of a run's work is done. Times are those of the answers.
+// progress holds how much of a run's work is done, as reported by its worker. Times are those of the reports.
 type progress struct {
-	share   float64 // Of the work, 0 to 1.
-	at      time.Time
+	share   float64   // Part of the work that is done, 0 to 1.
+	at      time.Time // Time of the last report.
 	moved   time.Time // When the share last grew.
-	rate    float64   // Share a second, over the last window; 0 before the first.
+	rate    float64   // Share per second in the last window; 0 before the first window has ended.
 	best    float64   // The highest rate so far.
-	from    float64   // Share at the begin of the window.
-	fromSet time.Time // Begin of the window.
+	from    float64   // Share at the start of the window.
+	fromSet time.Time // Start of the window.
 }
 
-// note takes in the share that a look found.
+// note records the share that a poll found.
 func (p *progress) note(share float64, now time.Time) {
 	if p.at.IsZero() {
 		p.moved, p.from, p.fromSet = now, share, now
@@ -58,7 +59,8 @@
 	p.share, p.at = share, now
 }
 
-// end is when the run ends at the present rate, and until when that counts as known: zero where it is not known at all.
+// end returns when the run ends at the current rate, and until when that prediction is valid. Both are zero if the
+// rate is unknown.
 func (p *progress) end() (ends, knownUntil time.Time) {
 	if p.rate <= 0 {
 		return time.Time{}, time.Time{}
@@ -66,7 +68,8 @@
 	return p.at.Add(seconds((1 - p.share) / p.rate)), p.at.Add(staleAfter)
 }
 
-// stalled is how long a run has stood still although it should have moved; total is how long all of its work should take.
+// stalled returns for how long a run has made no progress although it should have, or 0 if it is not stalled. total
+// is the expected run time of the whole task.
 func (p *progress) stalled(total time.Duration) time.Duration {
 	if p.at.IsZero() || p.share >= 1 {
 		return 0
@@ -82,7 +85,7 @@
 	return still
 }
 
-// slowed is how many times slower than its best a run is now, 1 where that is not known.
+// slowed returns how many times slower than its best rate a run is now, or 1 if that is unknown.
 func (p *progress) slowed() float64 {
 	if p.rate <= 0 || p.best <= 0 {
 		return 1
@@ -90,7 +93,7 @@
 	return p.best / p.rate
 }
 
-// stalledFor is how long a run has stood still.
+// stalledFor returns for how long a run has been stalled, or 0 if it is not.
 func (h *shard) stalledFor(r *run) time.Duration {
 	if r.confirmed.IsZero() || r.stopping || r.job.Request.Steps[r.task.Step].Lasting {
 		return 0
@@ -98,8 +101,8 @@
 	return r.progress.stalled(time.Duration(h.Bounds.Policy.FarFactor * float64(h.learned.task(r.job.Request, r.task.Step))))
 }
 
-// stalls reports whether a single task stands still on a worker, so that nothing new is to be started there. A gang's
-// member may wait for another one elsewhere.
+// stalls reports whether a single task is stalled on a worker, so that nothing new should start there. Gangs don't
+// count: a member may be waiting for a member on another worker.
 func (h *shard) stalls(w *workerState) bool {
 	for _, r := range w.runs {
 		if !r.job.Request.Steps[r.task.Step].Gang && h.stalledFor(r) > 0 {
@@ -109,7 +112,7 @@
 	return false
 }
 
-// endStalls stops runs on a worker that have stood still for longer than starting them anew would cost.
+// endStalls stops runs on a worker that have been stalled for longer than a restart would cost.
 func (h *shard) endStalls(w *workerState, now time.Time) {
 	for _, r := range w.runs {
 		step := &r.job.Request.Steps[r.task.Step]
@@ -118,7 +121,7 @@
 			continue
 		}
 		h.Figures.Count("runs_stalled")
-		h.Log.Info("scheduler: a run stands still", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(w.life),
+		h.Log.Info("scheduler: a run is stalled; stopping it", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(w.life),
 			zap.Float64("done", r.progress.share), zap.Duration("for", still), zap.Duration("age", now.Sub(r.placed)), zap.Bool("gang", step.Gang))
 		h.stop(w, r, "it makes no progress")
 		if !step.Gang {
@@ -133,8 +136,8 @@
 	}
 }
 
-// restartCost is the time that is lost by starting a run anew that has worked until a moment. Of a gang it counts twice:
-// which of its workers is to blame is not known, so that the next run may stand still as well.
+// restartCost returns the time that is lost if a run that worked until a given time is restarted. It is doubled for a
+// gang: which of its workers is to blame is unknown, so that the next run may stall as well.
 func (h *shard) restartCost(r *run, step *job.Step, until time.Time) time.Duration {
 	redone := until.Sub(r.placed)
 	if step.Checkpoints {
@@ -147,11 +150,12 @@
 	return cost
 }
 
-// learnShare is the share of its work from which a run's rate tells how long tasks like it take.
+// learnShare is the share of its work that a run must have done before its rate is used to estimate how long similar
+// tasks take.
 const learnShare = 0.1
 
-// learnEarly takes in how long a run will take, once, as soon as its progress tells; runs that are slower for where they
-// run tell nothing of others.
+// learnEarly estimates a step's run time from the progress of a run, once per run. Runs that are slower because of
+// where they run are left out, as they say nothing about others.
 func (h *shard) learnEarly(r *run) {
 	step := &r.job.Request.Steps[r.task.Step]
 	if r.learned || r.far || r.adopted || step.Lasting || r.progress.rate <= 0 || r.progress.share < learnShare {
@@ -161,8 +165,8 @@
 	h.learned.ran(r.job.Request, r.task.Step, time.Duration(float64(time.Second)/r.progress.rate))
 }
 
-// expectedEnd is when a run should end, and until when that counts as known: zero where it does not follow from what its
-// worker told of its progress.
+// expectedEnd returns when a run should end, and until when that prediction is valid. The latter is zero if the end
+// does not follow from the reported progress but from the estimated run time.
 func (h *shard) expectedEnd(r *run) (ends, knownUntil time.Time) {
 	ends, knownUntil = r.progress.end()
 	if knownUntil.IsZero() {
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -7,7 +7,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// told returns the progress of a run after looks every 500 ms that found these shares, and the time of the last look.
+// told returns the progress of a run after polls every 500 ms that found these shares, and the time of the last poll.
 func told(shares ...float64) (p progress, last time.Time) {
 	now := time.Unix(1000, 0)
 	for i, share := range shares {
@@ -17,8 +17,9 @@
 	return p, last
 }
 
+// TestLeftAtThePresentRate fails if the end of a run is not predicted from its current rate.
 func TestLeftAtThePresentRate(t *testing.T) {
-	p, now := told(0.1, 0.2, 0.3, 0.4, 0.5) // A fifth a second.
+	p, now := told(0.1, 0.2, 0.3, 0.4, 0.5) // 0.2 per second.
 	ends, knownUntil := p.end()
 	quicktest.Assert(t, ends.Sub(now).Round(10*time.Millisecond), quicktest.Equals, 2500*time.Millisecond)
 	quicktest.Assert(t, knownUntil, quicktest.Equals, now.Add(staleAfter))
@@ -26,6 +27,8 @@
 	quicktest.Assert(t, knownUntil.IsZero(), quicktest.IsTrue)
 }
 
+// TestStalled fails if a stalled run is not detected, or if one that moves, is done or is too slow to tell counts as
+// stalled.
 func TestStalled(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -45,6 +48,7 @@
 	}
 }
 
+// TestSlowed fails if a run whose rate drops is not reported as slower than its best rate.
 func TestSlowed(t *testing.T) {
 	p, _ := told(0.1, 0.2, 0.3, 0.4, 0.42, 0.44, 0.46, 0.48)
 	quicktest.Assert(t, p.slowed() > 3, quicktest.IsTrue, quicktest.Commentf("%v", p.slowed()))
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -13,16 +13,17 @@
 	"go.uber.org/zap"
 )
 
-// startTimeouts are the least bounds of the answers to the tries of a start; the same run starts only once at a worker. A worker answers within a
-// few ms, and a packet that was lost comes again after 200 ms. Each try that is missed makes a whole gang wait, and after
-// the last one the gang begins anew: where one order in twenty gets no answer, two tries lose one member in 400 and every
-// tenth gang of 40, three tries one in 200.
+// startTimeouts holds the shortest time limits for the answers to the successive tries of a start. Repeating a start
+// is safe: a worker starts the same run only once. A worker answers within a few ms, and a lost packet is sent again
+// after 200 ms. Each failed try delays a whole gang, and after the last one the gang starts again from the beginning.
+// If 1 in 20 commands gets no answer, two tries lose 1 member in 400 and 1 gang of 40 in 10; three tries lose 1 such
+// gang in 200.
 var startTimeouts = [...]time.Duration{300 * time.Millisecond, 400 * time.Millisecond, answerTimeout}
 
-// stopRetry is the pause between two tries of a stop without an answer.
+// stopRetry is the delay before a stop that got no answer is sent again.
 const stopRetry = 150 * time.Millisecond
 
-// launch orders a run whose placement is committed.
+// launch starts a run whose placement is committed.
 func (h *shard) launch(r *run) {
 	w := r.worker
 	if w.runs[r.task] != r || r.stopping {
@@ -32,7 +33,7 @@
 	h.ordering.Go(func() { h.start(w, r) })
 }
 
-// start sends the start of a run and takes in the answer.
+// start sends the start of a run until it is answered, refused or given up.
 func (h *shard) start(w *workerState, r *run) {
 	h.setClock(w)
 	for try := 1; ; try++ {
@@ -53,7 +54,7 @@
 	}
 }
 
-// nextStart is the order to send, nil once the run is not to start any more.
+// nextStart returns the start command to send, or nil if the run must not start any more.
 func (h *shard) nextStart(w *workerState, r *run, try int) (*fleet.Start, fleet.Worker, sentMark) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,7 +81,7 @@
 	}, w.target(), w.mark()
 }
 
-// started takes in the answer to a start and reports whether the matter is settled.
+// started handles the answer to a start and reports whether no further try is needed.
 func (h *shard) started(w *workerState, r *run, m sentMark, clock int64, err error, try int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 	surelyNot := try == 1 && (refused && refusal != fleet.Outdated || notSent(err))
 	if surelyNot {
-		r.ordered = time.Time{} // What becomes of the worker is not its doing.
+		r.ordered = time.Time{} // This run can't be the cause of a failure of the worker.
 		if r.lost != nil {
 			h.charge(h.losses.NeverRan(r.life, r.task))
 		}
@@ -110,7 +111,8 @@
 	h.noteFailure(w, m, err, "start")
 	switch {
 	case refused && refusal == fleet.Outdated:
-		// The run has ended there, or was stopped before it came: a look will tell which, and it can't start any more.
+		// The run has already ended there, or its stop arrived first. It can't start any more; the next poll tells
+		// which.
 		r.ordering = false
 		r.stopKnown = time.Now()
 		w.signal()
@@ -122,7 +124,7 @@
 	case !refused && try < len(startTimeouts) && !w.Draining && !w.gone:
 		return false
 	}
-	// An earlier try may have been carried out, or may be yet.
+	// An earlier try may have started the run, or may still start it.
 	r.ordering = false
 	r.gaveUp = time.Now()
 	h.stop(w, r, "the start got no answer")
@@ -130,12 +132,12 @@
 	return true
 }
 
-// notSent reports whether an order surely never left.
+// notSent reports whether a command certainly did not reach the worker.
 func notSent(err error) bool {
 	return errors.Is(err, fleet.ErrNotSent) || errors.Is(err, fleet.ErrNotListening)
 }
 
-// refused ends a run that surely did not start.
+// refused ends a run that certainly did not start.
 func (h *shard) refused(w *workerState, r *run) {
 	if w.runs[r.task] != r {
 		return
@@ -143,7 +145,7 @@
 	h.endRun(w, r, job.NeverRan, "")
 }
 
-// stop orders the end of a run; the end counts only once the worker has listed it.
+// stop tells a worker to stop a run. The run counts as ended only once the worker reports its end.
 func (h *shard) stop(w *workerState, r *run, why string) {
 	if r.stopping {
 		return
@@ -161,7 +163,7 @@
 	h.ordering.Go(func() { h.sendStop(w, r) })
 }
 
-// sendStop sends a stop until the worker has taken it or the run is gone.
+// sendStop sends a stop until the worker has accepted it or the run is gone.
 func (h *shard) sendStop(w *workerState, r *run) {
 	for h.ctx.Err() == nil {
 		h.mu.Lock()
@@ -181,7 +183,7 @@
 		refusal, refused := refusalOf(err)
 		if err == nil || refused && refusal == fleet.Outdated {
 			r.stopKnown = time.Now()
-			h.changed = h.changed || w.owed[r] // It may take new runs.
+			h.changed = h.changed || w.owed[r] // The worker may be able to accept new runs.
 			delete(w.owed, r)
 			w.signal()
 			h.mu.Unlock()
@@ -201,7 +203,7 @@
 	h.eachMember(r, func(w *workerState, m *run) { h.stop(w, m, why) })
 }
 
-// eachMember calls f for the other members of a run's gang that are placed.
+// eachMember calls f for each other placed member of a run's gang.
 func (h *shard) eachMember(r *run, f func(w *workerState, m *run)) {
 	g := r.group()
 	for i, t := range r.job.Tasks(g) {
@@ -215,7 +217,7 @@
 	}
 }
 
-// endRun takes in how a run ended.
+// endRun records how a run ended.
 func (h *shard) endRun(w *workerState, r *run, outcome job.Outcome, saved string) {
 	h.dropRun(w, r)
 	j := r.job
@@ -234,7 +236,8 @@
 	if outcome == job.FailedRun || outcome == job.NeverRan {
 		j.noteFailedAt(g, w.ID, outcome == job.FailedRun)
 	}
-	if outcome != job.NeverRan { // Else it has waited all along, and guaranteed work must begin within its time.
+	// A run that never began keeps its waiting time: guaranteed work must start within its limit.
+	if outcome != job.NeverRan {
 		delete(j.since, g)
 	}
 	if j.Progress.State != before && j.Progress.State.Final() {
@@ -245,7 +248,7 @@
 	}
 }
 
-// logEnd logs a run that did not end well.
+// logEnd logs a run that did not succeed.
 func (h *shard) logEnd(w *workerState, r *run, outcome job.Outcome) {
 	fields := []zap.Field{
 		zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(r.life), zap.Stringer("outcome", outcome),
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,5 +1,6 @@
-// Package scheduler runs one shard of jobs: it follows requests and workers, has placement decide, commits every
-// placement before it is ordered, and gives and follows up the orders. It runs in the box that holds the shard's lease.
+// Package scheduler runs one shard of jobs. It watches requests and workers, decides placements, commits every
+// placement before it sends the start commands, and tracks the runs until they end. It runs in the box that holds the
+// shard's lease.
 package scheduler
 
 import (
@@ -22,76 +23,83 @@
 	"go.uber.org/zap"
 )
 
-// Directory lists the workers that have recorded themselves.
+// Directory lists the workers that have written a record of themselves to the store.
 type Directory interface {
 	Workers(ctx context.Context) (Listing, error)
 	WatchWorkers(ctx context.Context, since int64, wait time.Duration) (Listing, error)
 }
 
-// Listing is workers as they recorded themselves, and the names of those whose record is gone.
+// Listing holds the records of workers, and the names of workers whose record was removed.
 type Listing struct {
 	Workers []fleet.Worker
-	Gone    []string
-	Foreign []string // Of those, the names where another writer's record is in its place.
+	Gone    []string // Workers whose record was removed or replaced by another writer's.
+	Foreign []string // The names in Gone where another writer's record has taken the place of the worker's own.
 	Version int64
-	More    bool      // More has changed since: the answer was full.
-	AsOf    time.Time // Changes in it were made after that; zero where that is not known. The scheduler sets it.
+	More    bool // Further changes are waiting: the answer reached its size limit.
+	// All changes in the listing were written after this time; zero if unknown. Set by the scheduler.
+	AsOf time.Time
 }
 
-// Bounds are the site's times that bear on orders.
+// Bounds holds the site's time limits for commands to workers.
 type Bounds struct {
 	MaxLease time.Duration // Longest lease that a worker grants.
-	StopTime time.Duration // Longest time that a stop takes.
-	Stays    time.Duration // How long a worker at least stays whose record goes as it leaves; 0 where nothing promises it.
-	GangWait time.Duration // How long a gang's member waits for the others.
-	Retain   time.Duration // How long a job is shown after its end.
-	Emptied  time.Duration // Time after a hall was emptied within which work may still start there; 0 for no bound.
+	StopTime time.Duration // Longest time that a worker needs to stop a run.
+	// Least time that a worker keeps running after its record is removed on departure; 0 if not guaranteed.
+	Stays    time.Duration
+	GangWait time.Duration // How long a member of a gang waits for the other members.
+	Retain   time.Duration // How long a job is shown after it has ended.
+	Emptied  time.Duration // How long after a hall was emptied work may still start there; 0 for no limit.
 	Policy   placement.Policy
 }
 
-// Scheduler holds what a shard's scheduler needs; Run does the work.
+// Scheduler holds the dependencies and settings of a shard's scheduler. Run does the work.
 type Scheduler struct {
 	Ledger        *ledger.Ledger
 	Directory     Directory
 	Orders        fleet.Orders
 	Configuration func() *queue.Configuration
-	Halls         func() queue.Halls   // Which halls are emptied, as last heard.
-	Slept         func() time.Duration // How long the machine has been suspended in all; nil where nothing tells.
-	SleptBefore   time.Duration        // The same, before the lease was claimed.
-	Bounds        Bounds
-	Log           *zap.Logger
-	Figures       *measure.Figures // nil for none.
+	Halls         func() queue.Halls // The emptied halls, as last reported.
+	// Total time that the machine has been suspended; nil if that can't be measured.
+	Slept       func() time.Duration
+	SleptBefore time.Duration // The total time suspended before the lease was claimed.
+	Bounds      Bounds
+	Log         *zap.Logger
+	Figures     *measure.Figures // nil to record no metrics.
 
-	live atomic.Pointer[shard] // The tenure that is on, for operators who ask.
+	live atomic.Pointer[shard] // The current lease term, for queries by operators; nil if there is none.
 }
 
-// Timing of the scheduler itself.
+// Timing of commits, decisions and reads of the store.
 const (
-	// beatEvery is the longest time between two commits; other boxes take the lease after a few missed ones.
+	// beatEvery is the longest time between two commits. Other boxes take the lease after a few missed ones.
 	beatEvery = 300 * time.Millisecond
-	// commitSpacing is the least time between two commits: a call to the store costs money and each row is written whole.
+	// commitSpacing is the shortest time between two commits. Each commit costs a paid call to the store and writes
+	// whole rows.
 	commitSpacing = 15 * time.Millisecond
-	// commitTimeout bounds a commit; the store at its slowest takes about 80 times its usual 5 ms.
+	// commitTimeout limits a commit. A call to the store usually takes 5 ms and about 80 times as long at its
+	// slowest.
 	commitTimeout = 1500 * time.Millisecond
-	// passEvery is the longest time between two decisions while work waits, for those that depend on time.
+	// passEvery is the longest time between two decisions while work waits, as some decisions depend on the time.
 	passEvery = 100 * time.Millisecond
-	// retryPause is the pause after a call to the store failed; after a commit it doubles up to retryMost.
+	// retryPause is the delay before a failed call to the store is retried. For commits it doubles up to retryMost.
 	retryPause = 100 * time.Millisecond
 	retryMost  = 400 * time.Millisecond
-	// workersQuiet is how long the feed of workers may tell of nothing before their records are read.
+	// workersQuiet is how long the feed of worker records may report no change before all records are read.
 	workersQuiet = 2 * time.Second
-	// workersPause is the pause between two looks at the workers' records: every worker's heartbeat ends a wait for changes,
-	// and a worker that leaves says so seconds before. After a full answer there is none: 3,000 workers write 2,000 records a
-	// second, and with a pause after each 500 the news of workers that leave came 5 s late. Without it a third of all calls to the store were these (1,691 of 5,265
-	// on a calm day of 85 s with 48 workers, 8,118 of 23,703 with 350).
+	// workersPause is the delay between two reads of the workers' feed. Without it a third of all calls to the store
+	// were these reads (1,691 of 5,265 on a calm day of 85 s with 48 workers, 8,118 of 23,703 with 350), because
+	// every heartbeat of a worker ends a wait for changes. The delay does no harm, as a worker announces its
+	// departure seconds ahead. After a full answer there is no delay: 3,000 workers write 2,000 records a second, and
+	// with a delay after each 500 records departures were noticed 5 s late.
 	workersPause = 300 * time.Millisecond
 )
 
-// shard is the state of one tenure, under its own lock. What changes together is embedded, each part in the file that changes it.
+// shard holds the state of one lease term and the lock that guards it. Fields that change together are in embedded
+// structs, each declared in the file that changes it.
 type shard struct {
 	*Scheduler
 	tenure *ledger.Tenure
-	ctx    context.Context // Ends with the tenure.
+	ctx    context.Context // Ends with the lease term.
 	wake   chan struct{}
 
 	mu sync.Mutex
@@ -102,11 +110,11 @@
 	pastJobs
 	jobs      map[job.ID]*liveJob
 	workers   map[string]*workerState
-	roster    []*workerState // The workers by their names; nil once one came or went.
+	roster    []*workerState // The workers sorted by name; nil after one was added or removed.
 	holdings  holdings
-	view      placement.View // Of the last decision; its lists are used again.
+	view      placement.View // The view of the last decision; its slices are reused.
 	losses    loss.Judge
-	changed   bool // Something happened that a decision may depend on.
+	changed   bool // Something changed that a decision may depend on.
 	lastPass  time.Time
 	learned   estimates
 	stepTimes map[claimKey]*stepTimes
@@ -117,19 +125,20 @@
 	ordering  sync.WaitGroup
 }
 
+// liveJob is a job that the scheduler tracks.
 type liveJob struct {
 	*job.Life
-	version int64                   // Newest version of the request's rows.
-	since   map[job.Group]time.Time // Since when a group could have started.
-	avoid   map[job.Group]map[string]bool
-	covered bool                 // Within its workspace's guarantee, as of the last decision.
-	apart   map[job.ID]bool      // Jobs that were lost together with it, apartMost of them at most.
-	givenUp map[runKey]time.Time // Runs that were taken for over without their worker's word.
-	strays  map[job.Task]int     // Runs that are not followed and were found to go on, by task.
+	version int64                         // Newest version of the request's rows.
+	since   map[job.Group]time.Time       // When a group became ready to start.
+	avoid   map[job.Group]map[string]bool // Workers to avoid: true after a failed run, false if the run never began.
+	covered bool                          // Within its workspace's guarantee as of the last decision.
+	apart   map[job.ID]bool               // Up to apartMost jobs whose runs were lost together with this job's.
+	givenUp map[runKey]time.Time          // Runs that were presumed ended without a report from their worker, and when.
+	strays  map[job.Task]int              // Number of orphaned runs by task.
 }
 
-// Run schedules the shard until the lease is lost or ctx ends; in the latter case the lease is given back. It returns
-// ledger.ErrReplaced where another box took over.
+// Run schedules the shard until the lease is lost or ctx ends. If ctx ends, it releases the lease. It returns
+// ledger.ErrReplaced if another box has taken the lease.
 func (s *Scheduler) Run(ctx context.Context, tenure *ledger.Tenure) error {
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	h := newShard(inner, s, tenure)
@@ -153,7 +162,7 @@
 	return h.commitLoop(ctx)
 }
 
-// newShard returns the empty state of a tenure.
+// newShard returns the empty state of a new lease term.
 func newShard(ctx context.Context, s *Scheduler, tenure *ledger.Tenure) *shard {
 	return &shard{
 		Scheduler: s, tenure: tenure, ctx: ctx, wake: make(chan struct{}, 1),
@@ -165,6 +174,7 @@
 	}
 }
 
+// signal wakes the commit loop.
 func (h *shard) signal() {
 	select {
 	case h.wake <- struct{}{}:
@@ -172,14 +182,15 @@
 	}
 }
 
-// touch notes that a job's progress changed.
+// touch marks a job's progress as changed, so that it is committed and a new decision is made.
 func (h *shard) touch(id job.ID) {
 	h.dirty[id] = true
 	h.changed = true
 	h.signal()
 }
 
-// takeChanges adds requests and cancellations; progress is that of a predecessor, nil in a running tenure.
+// takeChanges applies requests and cancellations. progress holds the jobs' progress as committed by a predecessor; it
+// is nil for changes during the lease term.
 func (h *shard) takeChanges(list []ledger.Change, progress map[job.ID]*job.Progress) {
 	for i := range list {
 		c := &list[i]
@@ -199,6 +210,7 @@
 	}
 }
 
+// addJob starts to track a job, with its progress if a predecessor committed any.
 func (h *shard) addJob(r *job.Request, p *job.Progress) {
 	if h.jobs[r.ID] != nil {
 		return
@@ -217,6 +229,7 @@
 	h.signal()
 }
 
+// cancelJob cancels a job and stops its runs. A cancellation that arrives before its request is kept in h.early.
 func (h *shard) cancelJob(id job.ID) {
 	j := h.jobs[id]
 	if j == nil {
@@ -242,7 +255,8 @@
 	}
 }
 
-// followJobs takes in requests and cancellations as they are written.
+// followJobs watches the store for requests and cancellations and applies them. When the feed is quiet for too long,
+// it reads all rows.
 func (h *shard) followJobs(version int64) {
 	var patience patience
 	for h.ctx.Err() == nil {
@@ -266,9 +280,9 @@
 	}
 }
 
-// noteStore takes in that the store failed a call.
+// noteStore logs a failed call to the store and records its time.
 func (h *shard) noteStore(err error, call string) {
-	h.Log.Warn("scheduler: the store failed a call", zap.String("call", call), logsink.Error(err))
+	h.Log.Warn("scheduler: a call to the store failed; retrying", zap.String("call", call), logsink.Error(err))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.storeOut = time.Now()
--- a/internal/scheduler/since_test.go
+++ b/internal/scheduler/since_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 )
 
-// TestNeverRanGoesOnWaiting: a task whose start was refused has waited since before it was placed, so that guaranteed work
-// still begins within its time; one that has run waits anew.
+// TestNeverRanGoesOnWaiting fails if a task whose start was refused loses its waiting time, as guaranteed work must
+// start within its limit. A task that has run starts to wait anew.
 func TestNeverRanGoesOnWaiting(t *testing.T) {
 	for outcome, kept := range map[job.Outcome]bool{job.NeverRan: true, job.Stopped: false, job.Lapsed: false} {
 		h := &shard{Scheduler: &Scheduler{Log: zap.NewNop()}, wake: make(chan struct{}, 1), jobs: map[job.ID]*liveJob{}, uncommitted: uncommitted{dirty: map[job.ID]bool{}}}
--- a/internal/scheduler/slept_test.go
+++ b/internal/scheduler/slept_test.go
@@ -8,9 +8,10 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestASuspendedBoxRenewsNoLonger: a tenure renews leases for a bounded time after its last commit, and its successor reckons with that. The machine of a box was suspended, and its
-// clock did not count that time: the box woke, took its last commit for fresh and renewed the leases of a worker that its successor could not reach, beyond what that one
-// reckoned with; what ran there was begun elsewhere while it ran on.
+// TestASuspendedBoxRenewsNoLonger fails if a box that was suspended renews leases for longer than its successor
+// expects. The clock does not count the time suspended, so after waking, the box took its last commit for recent and
+// renewed the leases of a worker that its successor could not reach. Its runs continued while they were started
+// elsewhere.
 func TestASuspendedBoxRenewsNoLonger(t *testing.T) {
 	for _, suspended := range []time.Duration{0, time.Second, 5 * time.Second, 7900 * time.Millisecond, 8 * time.Second, 20 * time.Second, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
@@ -27,10 +28,11 @@
 				until := before.renew(w)
 				renewed = until > 0
 				if ends := replacedAt.Add(slowed(milliseconds(until))); !ends.Before(bound) {
-					t.Fatalf("suspended for %s: leases run until %s after the last commit, a successor reckons with %s", suspended, ends.Sub(replacedAt), bound.Sub(replacedAt))
+					t.Fatalf("suspended for %s: leases last until %s after the last commit, a successor expects at most %s", suspended, ends.Sub(replacedAt), bound.Sub(replacedAt))
 				}
 			}
-			quicktest.Check(t, time.Since(replacedAt)+suspended > renewedFor, quicktest.IsTrue) // As long as without a suspension.
+			// As long as without a suspension.
+			quicktest.Check(t, time.Since(replacedAt)+suspended > renewedFor, quicktest.IsTrue)
 		})
 	}
 }
--- a/internal/scheduler/speed.go
+++ b/internal/scheduler/speed.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// speedWeight is the weight of the newest run in what is known of a worker's speed.
+	// speedWeight is the weight of the newest run in the estimate of a worker's speed.
 	speedWeight = 0.2
-	// speedSamples is how many tasks of a step must have ended before one is compared with them.
+	// speedSamples is how many tasks of a step must have ended before another one is compared with them.
 	speedSamples = 3
 )
 
-// stepTimes is how long the tasks of a step took so far.
+// stepTimes holds the run times of the tasks of a step that have ended.
 type stepTimes struct {
-	count int
-	sum   float64 // Of the logarithms of seconds.
+	count int     // Number of ended tasks.
+	sum   float64 // Sum of the natural logarithms of their run times in seconds.
 }
 
-// overdue is how many times longer than the other tasks of their step took the runs on a worker have been under way, so
-// that a worker that turns slow or stands still is known before anything ends there.
+// overdue returns how many times longer the runs on a worker have taken than the other tasks of their step, at least
+// 1. It detects a worker that has become slow or has stalled before anything ends there.
 func (h *shard) overdue(w *workerState, now time.Time) float64 {
 	most := 1.0
 	for _, r := range w.runs {
@@ -35,17 +35,19 @@
 	return most
 }
 
-// stepKey names a run's step, over all occurrences.
+// stepKey returns the key of a run's step. It is the same for all occurrences.
 func (r *run) stepKey() claimKey { return stepOf(r.task.Job, r.task.Step) }
 
-// slowness is how many times longer than elsewhere work takes on a worker; the zero value is a sound one.
+// slowness holds how many times longer work takes on a worker than on others. The zero value is a worker of normal
+// speed.
 type slowness struct {
-	log float64
+	log float64 // Natural logarithm of the factor.
 }
 
 func (s slowness) factor() float64 { return math.Exp(s.log) }
 
-// learnSpeed compares a run that ended well with the other tasks of its step, which are alike.
+// learnSpeed updates a worker's speed by comparing a successful run with the other tasks of its step, which do
+// similar work.
 func (h *shard) learnSpeed(w *workerState, r *run, took time.Duration) {
 	step := &r.job.Request.Steps[r.task.Step]
 	if step.Gang || r.saved != "" || r.adopted || took <= 0 {
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -11,17 +11,18 @@
 	"go.uber.org/zap"
 )
 
-// takeoverPatience bounds a take-over: past it the tenure ends, and the lease may be claimed again. The thinnest link seen (2 Mbit/s) needs about 4 s
-// for the rows of 700 jobs.
+// takeoverPatience limits a takeover. When it has passed, the lease term ends and the lease may be claimed again. On
+// a link of 2 Mbit/s, reading the rows of 700 jobs takes about 4 s.
 const takeoverPatience = 8 * time.Second
 
-// recordAge is how old a worker's record is at most as a tenure begins: each writes it anew about every 1.5 s. Counted from no time at all, all that ran on leaving workers was stopped
-// at once: 717 runs of one day with 1,100 workers, of which 63 had 5 s left.
+// recordAge is the greatest age of a worker's record at the start of a lease term: each worker rewrites its record
+// about every 1.5 s. Without an assumed age, everything on departing workers was stopped at once: 717 runs in one day
+// with 1,100 workers, 63 of which had 5 s left.
 const recordAge = 2 * time.Second
 
-// takeOver reads what the tenure begins with and renews the lease meanwhile. Without the renewals the other boxes take the
-// lease from a box with a thin link before it has read everything: at 41 boxes, 35 of them on 10 Mbit/s, ten
-// tenures in a row failed within 13 s after all had lost power.
+// takeOver reads the state that the lease term begins with, and renews the lease in the meantime. Without the
+// renewals, other boxes took the lease from a box with a slow link before it had read everything: with 41 boxes, 35
+// of them on 10 Mbit/s, ten lease terms in a row failed within 13 s after a power outage of all boxes.
 func (h *shard) takeOver(ctx context.Context) (jobsVersion, workersVersion int64, err error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, takeoverPatience)
@@ -45,12 +46,12 @@
 	return jobsVersion, workersVersion, nil
 }
 
-// renewUntil renews the lease until done is closed; the error is ledger.ErrReplaced where another box has it.
+// renewUntil renews the lease until done is closed. It returns ledger.ErrReplaced if another box has taken the lease.
 func (h *shard) renewUntil(ctx context.Context, done <-chan struct{}) error {
 	for {
 		interval.SleepOrWoken(ctx, beatEvery, done)
 		if ctx.Err() != nil {
-			<-done // What is read ends with ctx too.
+			<-done // The reads end with ctx as well.
 		}
 		select {
 		case <-done:
@@ -71,8 +72,8 @@
 	}
 }
 
-// load reads the shard's rows and the workers, one after the other, so that renewals of the lease don't wait behind all of
-// them on a thin link.
+// load reads the shard's rows and the workers' records one after the other, so that renewals of the lease don't wait
+// behind all of them on a slow link.
 func (h *shard) load(ctx context.Context) (jobsVersion, workersVersion int64, err error) {
 	var (
 		changes  ledger.Changes
@@ -104,7 +105,7 @@
 	return changes.Version, listing.Version, nil
 }
 
-// insist repeats a read until it succeeds or ctx ends.
+// insist retries a read until it succeeds or ctx ends.
 func (h *shard) insist(ctx context.Context, read func() error) error {
 	for {
 		err := read()
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -11,7 +11,7 @@
 	"github.com/pulleyring/pulleyring/internal/placement"
 )
 
-// takeView brings the view that decisions are made from up to date.
+// takeView updates the view from which decisions are made and returns it.
 func (h *shard) takeView(now time.Time) *placement.View {
 	v := &h.view
 	v.Now, v.Policy = now, h.Bounds.Policy
@@ -26,7 +26,7 @@
 		shown.Closed = !halls.open(w.Hall, now)
 		shown.Usable = shown.Usable && !shown.Closed
 		shown.Begun = w.begun(now)
-		if suspects { // Looking through all runs for them takes half as long again as the rest of the view.
+		if suspects { // Only if needed: searching all runs for suspects takes half as long as the rest of the view.
 			shown.Suspect = w.suspect()
 		}
 		shown.Unproven = outbreak && !w.proven(h.outbreak.began, now)
@@ -48,7 +48,7 @@
 	return v
 }
 
-// takeRoster lists the workers by their names, and where everything runs, once a worker came or went.
+// takeRoster sorts the workers by name and renumbers them, once a worker was added or removed.
 func (h *shard) takeRoster() {
 	if h.roster != nil {
 		return
@@ -60,7 +60,7 @@
 	h.holdings.reseat()
 }
 
-// view is a worker as decisions see it.
+// view returns the worker as decisions see it.
 func (w *workerState) view(now time.Time) placement.Worker {
 	slowness := max(w.slow.factor(), w.overdue)
 	if w.lags(now) {
@@ -72,20 +72,21 @@
 	}
 }
 
-// Weights of queues by priority, and the part that late work earns: the configuration does not tell what a job earns, the
-// users' sheets give 4, 3 and 1 for priorities 0, 1 and 2 and about 0.3 of it when late.
+// priorityValue holds the value of a job by its priority. The configuration has no values; the users' value sheets
+// give 4, 3 and 1 for priorities 0, 1 and 2, and about 0.3 of that (lateShare) for late work.
 var priorityValue = [...]float64{4, 3, 1}
 
 const (
 	lateShare = 0.3
-	// baseShare of a job's value does not depend on its size, and a large job counts sizeCap times the mean at most
-	// (the users' rules).
+	// baseShare is the part of a job's value that does not depend on its size. The size counts at most sizeCap times
+	// the mean. Both are rules of the users.
 	baseShare = 0.3
 	sizeCap   = 4
-	// lateFactor times its objective a job still earns a part.
+	// lateFactor is how many times its allowed time a job may take and still earn a part of its value.
 	lateFactor = 3
 )
 
+// demand returns the demand of a waiting group of tasks.
 func (h *shard) demand(j *liveJob, g job.Group, now time.Time) placement.Demand {
 	since, ok := j.since[g]
 	if !ok {
@@ -122,7 +123,7 @@
 		}
 	}
 	if held > 0 && d.Step.Gang {
-		d.Waiting = nil // It starts whole.
+		d.Waiting = nil // A gang starts only as a whole.
 	}
 	allowed := h.allowed(r)
 	from := time.UnixMilli(r.Due(g.Occurrence))
@@ -136,19 +137,19 @@
 	return d
 }
 
-// allowed is the time from an occurrence's due time within which it earns all it can.
+// allowed returns the time after its due time within which an occurrence earns its full value.
 func (h *shard) allowed(r *job.Request) time.Duration {
 	return time.Duration(r.Terms.Stretch*float64(h.learned.whole(r))) + r.Terms.Objective
 }
 
-// value is what one occurrence of a job earns at most, in the weights above.
+// value returns the most that one occurrence of a job can earn, in units of priorityValue.
 func (h *shard) value(r *job.Request) float64 {
 	weight := priorityValue[min(max(r.Terms.Priority, 0), len(priorityValue)-1)]
 	mean := max(h.learned.of(r.Terms.Queue).work.value, 1)
 	return weight * (baseShare + (1-baseShare)*min(declaredWork(r)/mean, sizeCap)) / float64(r.Occurrences())
 }
 
-// workLeft is the expected core-seconds until an occurrence has ended.
+// workLeft returns the expected core-seconds of the tasks of an occurrence that still wait.
 func (h *shard) workLeft(j *liveJob, g job.Group) float64 {
 	sum := 0.0
 	for s := range j.Request.Steps {
@@ -164,7 +165,7 @@
 	return sum
 }
 
-// markCovered marks the jobs of priority 0 that are within their workspace's guarantee: the oldest first, as far as it goes.
+// markCovered marks the jobs of priority 0 that fit in their workspace's guarantee, the oldest jobs first.
 func (h *shard) markCovered() {
 	left := map[string]int64{}
 	if c := h.Configuration(); c != nil {
@@ -191,7 +192,7 @@
 	}
 }
 
-// accelerators is what a job takes at once at most, its steps taken as running together.
+// accelerators returns the largest number of accelerators that a job can use at once if all its steps run together.
 func accelerators(r *job.Request) int64 {
 	sum := int64(0)
 	for i := range r.Steps {
--- a/internal/scheduler/view_bench_test.go
+++ b/internal/scheduler/view_bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// BenchmarkView brings the view of a busy site up to date: half of its runs are single tasks, half are members of gangs of
-// 25. On one core, collected anew each time and kept: 48 workers 0.18 and 0.009 ms, 350 workers 1.5 and 0.070 ms, 1,100
-// workers 4.8 and 0.26 ms.
+// BenchmarkView updates the view of a busy site, where half of the runs are single tasks and half are members of
+// gangs of 25. On one core, built from scratch and updated: 48 workers 0.18 and 0.009 ms, 350 workers 1.5 and 0.070
+// ms, 1,100 workers 4.8 and 0.26 ms.
 func BenchmarkView(b *testing.B) {
 	for _, size := range []struct{ workers, runs int }{{48, 144}, {350, 1050}, {1100, 3300}} {
 		b.Run(fmt.Sprintf("workers=%d/runs=%d", size.workers, size.runs), func(b *testing.B) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// busyShard is a site with runs spread over its workers.
+// busyShard returns a shard whose runs are spread over its workers.
 func busyShard(workers, runs int) *shard {
 	h := keptShard()
 	for k := range workers {
--- a/internal/scheduler/why.go
+++ b/internal/scheduler/why.go
@@ -10,7 +10,8 @@
 	"github.com/pulleyring/pulleyring/internal/placement"
 )
 
-// Why tells, in words, what a job's tasks wait for as of the last decision; false where this box does not schedule or has no such job.
+// Why returns the reasons, as of the last decision, why a job's tasks wait. It returns false if this box does not
+// schedule or does not know the job.
 func (s *Scheduler) Why(id job.ID) ([]string, bool) {
 	h := s.live.Load()
 	if h == nil {
@@ -31,7 +32,7 @@
 	return lines, true
 }
 
-// isWaiting reports whether a task that waited at the last decision still does.
+// isWaiting reports whether any task that waited at the last decision still waits.
 func (j *liveJob) isWaiting(d *placement.Demand) bool {
 	tasks := j.Tasks(d.Group)
 	for _, i := range d.Waiting {
@@ -42,7 +43,8 @@
 	return false
 }
 
-// whyHeld tells which tasks are not started because a run of theirs is being stopped, or because workers fell silent under them.
+// whyHeld returns a line for each task that is not started because an orphaned run of it is being stopped, or because
+// workers that ran it became silent.
 func (h *shard) whyHeld(j *liveJob) []string {
 	lines := h.whyStray(j)
 	for i, counted := range j.Progress.Losses {
@@ -59,7 +61,8 @@
 	return lines
 }
 
-// whyStray tells which tasks are not started because a run that is not followed goes on, or may yet begin, and where.
+// whyStray returns a line for each orphaned run that still runs, or may yet begin, and keeps its task from being
+// started.
 func (h *shard) whyStray(j *liveJob) []string {
 	var lines []string
 	for t := range j.strays {
@@ -74,6 +77,7 @@
 	return lines
 }
 
+// whyWaits returns a line that explains why a demand of a view waits.
 func whyWaits(v *placement.View, i int) string {
 	d, w := &v.Demands[i], placement.Explain(v, i)
 	text := fmt.Sprintf("step %d waits for room for %d tasks since %s: %d workers are suitable, there is room for %d now", d.Group.Step, w.Need,
