--- a/internal/scheduler/clock_test.go
+++ b/internal/scheduler/clock_test.go
@@ -13,47 +13,49 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// slowClock is a worker whose clock is 2% slow. It records the lease of each start.
-type slowClock struct {
+// slowClockWorker is a worker whose clock is 2% slow. It records the lease of each start.
+type slowClockWorker struct {
 	fleet.Orders
 	born  time.Time
-	looks int
+	polls int
 	lease int64 // Lease of the last start.
 }
 
-func (s *slowClock) clock() int64 { return 1 + int64(0.98*float64(time.Since(s.born).Milliseconds())) }
+func (s *slowClockWorker) clock() int64 {
+	return 1 + int64(0.98*float64(time.Since(s.born).Milliseconds()))
+}
 
-func (s *slowClock) Look(context.Context, *fleet.Worker, *fleet.Look) (fleet.Report, error) {
-	s.looks++
+func (s *slowClockWorker) Look(context.Context, *fleet.Worker, *fleet.Look) (fleet.Report, error) {
+	s.polls++
 	return fleet.Report{Life: life.ID{Worker: "w"}, Clock: s.clock()}, nil
 }
 
-func (s *slowClock) Start(_ context.Context, _ *fleet.Worker, o *fleet.Start) (int64, error) {
+func (s *slowClockWorker) Start(_ context.Context, _ *fleet.Worker, o *fleet.Start) (int64, error) {
 	s.lease = o.Lease
 	return s.clock(), nil
 }
 
-// TestAnIdleWorkersClockIsReadAnew fails if the clock of a worker that was idle for long is extrapolated from its
+// TestClockOfIdleWorkerIsReadAgain fails if the clock of a worker that was idle for long is extrapolated from its
 // last answer. The first lease there was then set by a clock that had run ahead, and counted as expired half a minute
 // late.
-func TestAnIdleWorkersClockIsReadAnew(t *testing.T) {
+func TestClockOfIdleWorkerIsReadAgain(t *testing.T) {
 	for _, c := range []struct {
 		idle  time.Duration
 		looks int
 	}{{5 * time.Second, 0}, {20 * time.Minute, 1}} {
 		synctest.Test(t, func(t *testing.T) {
 			h, w := silentShard()
-			s := &slowClock{born: time.Now()}
+			s := &slowClockWorker{born: time.Now()}
 			h.Orders, h.tenure = s, &ledger.Tenure{}
 			time.Sleep(c.idle)
 			h.held = time.Now()
 			r := w.runs[job.Task{Job: "j"}]
 			w.leases.over = time.Time{}
 			h.start(w, r)
-			quicktest.Check(t, s.looks, quicktest.Equals, c.looks)
+			quicktest.Check(t, s.polls, quicktest.Equals, c.looks)
 			quicktest.Check(t, r.confirmed.IsZero(), quicktest.IsFalse)
-			named := milliseconds(s.lease - s.clock())
-			quicktest.Check(t, named < h.Bounds.lease(false)+200*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s", named))
+			granted := milliseconds(s.lease - s.clock())
+			quicktest.Check(t, granted < h.Bounds.lease(false)+200*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s", granted))
 			late := time.Until(w.leases.over) - slowed(h.Bounds.lease(false)) - h.Bounds.endsWithin()
 			quicktest.Check(t, late < 200*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s", late))
 		})
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -15,25 +15,25 @@
 
 // uncommitted holds the changes from which the next batches are built.
 type uncommitted struct {
-	dirty    map[job.ID]bool          // Jobs whose progress has changed since it was last committed.
-	underWay map[job.ID]*job.Progress // Progress in the batch that is being committed.
-	launches []*run                   // Placed runs whose start commands are sent once the placement is committed.
-	dropped  []ledger.Forgotten       // Jobs whose requests were deleted and whose progress rows have to be deleted.
-	pending  map[string]int           // Number of jobs by queue that have not started anything, as last committed.
+	dirty          map[job.ID]bool          // Jobs whose progress has changed since it was last committed.
+	underWay       map[job.ID]*job.Progress // Progress in the batch that is being committed.
+	pendingStarts  []*run                   // Placed runs that are started once the placement is committed.
+	dropped        []ledger.Forgotten       // Jobs whose request rows are deleted and whose progress rows are not yet.
+	pendingByQueue map[string]int           // Jobs that have not started anything, by queue, as last committed.
 }
 
 // commitLoop makes decisions and commits until the lease is lost or ctx ends, and releases the lease in the latter
 // case.
 func (h *shard) commitLoop(ctx context.Context) error {
 	lastCommit := time.Time{}
-	pause := retryPause
+	pause := retryDelay
 	for ctx.Err() == nil {
 		if h.isReplaced() {
 			return ledger.ErrReplaced
 		}
-		f := h.prepare(time.Since(lastCommit) >= beatEvery)
+		f := h.prepare(time.Since(lastCommit) >= heartbeatInterval)
 		if f == nil {
-			interval.SleepOrWoken(ctx, h.nextWake(lastCommit), h.wake)
+			interval.SleepOrWoken(ctx, h.untilNextCommit(lastCommit), h.wake)
 			continue
 		}
 		lastCommit = time.Now()
@@ -44,13 +44,13 @@
 		}
 		if err != nil {
 			interval.Sleep(ctx, pause)
-			pause = min(2*pause, retryMost)
+			pause = min(2*pause, maxRetryDelay)
 			continue
 		}
-		pause = retryPause
-		interval.Sleep(ctx, commitSpacing-time.Since(lastCommit))
+		pause = retryDelay
+		interval.Sleep(ctx, minCommitInterval-time.Since(lastCommit))
 	}
-	return h.giveBack()
+	return h.releaseLease()
 }
 
 func (h *shard) isReplaced() bool {
@@ -59,44 +59,44 @@
 	return h.replaced
 }
 
-// nextWake returns how long to wait until the next commit or decision is due.
-func (h *shard) nextWake(lastCommit time.Time) time.Duration {
+// untilNextCommit returns how long to wait until the next commit or decision is due.
+func (h *shard) untilNextCommit(lastCommit time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	wait := beatEvery - time.Since(lastCommit)
+	wait := heartbeatInterval - time.Since(lastCommit)
 	if h.anyWaiting() {
-		wait = min(wait, passEvery-time.Since(h.lastPass))
+		wait = min(wait, maxDecisionInterval-time.Since(h.lastDecision))
 	}
 	return max(wait, time.Millisecond)
 }
 
-// flight is a batch and the actions to take once it is committed.
-type flight struct {
-	batch    ledger.Batch
-	launches []*run                  // Runs to start.
-	applied  map[*listedEnds]applied // Ends reported by workers whose effects are committed with the batch.
+// pendingCommit is a batch and the actions to take once it is committed.
+type pendingCommit struct {
+	batch       ledger.Batch
+	starts      []*run                      // Runs to start.
+	appliedEnds map[*listedEnds]appliedEnds // Ends reported by workers whose effects are committed with the batch.
 }
 
-// applied is the number up to which all ends reported by a worker have been applied.
-type applied struct {
+// appliedEnds is the number up to which all ends reported by a worker have been applied.
+type appliedEnds struct {
 	worker *workerState
 	upTo   int64
 }
 
 // prepare makes a decision if one is due and builds the next batch. It returns nil if there is nothing to commit and
 // no heartbeat is due.
-func (h *shard) prepare(beat bool) *flight {
+func (h *shard) prepare(heartbeatDue bool) *pendingCommit {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.watchWorkers(time.Now())
-	if h.changed || h.anyWaiting() && time.Since(h.lastPass) >= passEvery {
-		h.pass()
+	if h.changed || h.anyWaiting() && time.Since(h.lastDecision) >= maxDecisionInterval {
+		h.decide()
 	}
 	pending := h.countPending()
-	if len(h.dirty) == 0 && len(h.dropped) == 0 && !beat && !h.addresses.left && maps.Equal(pending, h.pending) {
+	if len(h.dirty) == 0 && len(h.dropped) == 0 && !heartbeatDue && !h.addresses.left && maps.Equal(pending, h.pendingByQueue) {
 		return nil
 	}
-	f := &flight{batch: ledger.Batch{Progress: map[job.ID]*job.Progress{}}, applied: map[*listedEnds]applied{}}
+	f := &pendingCommit{batch: ledger.Batch{Progress: map[job.ID]*job.Progress{}}, appliedEnds: map[*listedEnds]appliedEnds{}}
 	rows, tasks := 0, 0
 	for id := range h.dirty {
 		j := h.jobs[id]
@@ -109,34 +109,34 @@
 		delete(h.dirty, id)
 	}
 	h.underWay = f.batch.Progress
-	h.collect(f)
+	h.collectFollowUps(f)
 	h.collectAddresses(&f.batch)
 	f.batch.Forget = h.takeDropped()
-	if !maps.Equal(pending, h.pending) {
+	if !maps.Equal(pending, h.pendingByQueue) {
 		f.batch.Summary = &ledger.Summary{Pending: pending}
-		h.pending = pending
+		h.pendingByQueue = pending
 	}
 	return f
 }
 
-// collect adds the runs whose placement is in the batch. Once no changed progress is left over, it also adds the ends
-// that can be acknowledged to the workers.
-func (h *shard) collect(f *flight) {
+// collectFollowUps adds the runs whose placement is in the batch. Once no changed progress is left over, it also adds
+// the ends that can be acknowledged to the workers.
+func (h *shard) collectFollowUps(f *pendingCommit) {
 	var later []*run
-	for _, r := range h.launches {
+	for _, r := range h.pendingStarts {
 		if f.batch.Progress[r.task.Job] == nil {
 			later = append(later, r)
 			continue
 		}
-		f.launches = append(f.launches, r)
+		f.starts = append(f.starts, r)
 	}
-	h.launches = later
+	h.pendingStarts = later
 	if len(h.dirty) > 0 {
 		return
 	}
 	for _, w := range h.workers {
 		if w.applied > w.acknowledged {
-			f.applied[w.listedEnds] = applied{w, w.listedEnds.applied}
+			f.appliedEnds[w.listedEnds] = appliedEnds{w, w.listedEnds.applied}
 		}
 	}
 }
@@ -151,8 +151,8 @@
 
 // commit writes a batch to the store and runs its follow-up actions. If that fails, it puts the changes back for the
 // next batch.
-func (h *shard) commit(ctx context.Context, f *flight) error {
-	began, slept := time.Now(), h.sleptSoFar()
+func (h *shard) commit(ctx context.Context, f *pendingCommit) error {
+	began, suspended := time.Now(), h.totalSuspended()
 	timed, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	err := h.tenure.Commit(timed, &f.batch)
@@ -166,35 +166,35 @@
 		}
 		return err
 	}
-	h.committed(f, began, slept)
+	h.committed(f, began, suspended)
 	return nil
 }
 
 // committed starts the follow-up actions of a committed batch: it acknowledges ends and starts runs.
-func (h *shard) committed(f *flight, began time.Time, slept time.Duration) {
-	h.held, h.heldSlept, h.underWay = began, slept, nil
+func (h *shard) committed(f *pendingCommit, began time.Time, suspended time.Duration) {
+	h.held, h.lastCommitSuspended, h.underWay = began, suspended, nil
 	h.marks.add(h.tenure.Version(), began)
-	for ends, a := range f.applied {
+	for ends, a := range f.appliedEnds {
 		ends.acknowledged = max(ends.acknowledged, a.upTo)
 		a.worker.signal()
 	}
-	for _, r := range f.launches {
+	for _, r := range f.starts {
 		h.launch(r)
 	}
 }
 
 // restore puts the changes of a failed batch back, so that the next batch contains them.
-func (h *shard) restore(f *flight) {
+func (h *shard) restore(f *pendingCommit) {
 	h.underWay = nil
 	for id := range f.batch.Progress {
 		if h.jobs[id] != nil { // Otherwise the job was dropped and its rows are deleted.
 			h.dirty[id] = true
 		}
 	}
-	h.launches = append(f.launches, h.launches...)
+	h.pendingStarts = append(f.starts, h.pendingStarts...)
 	h.dropped = append(h.dropped, f.batch.Forget...)
 	if f.batch.Summary != nil {
-		h.pending = nil
+		h.pendingByQueue = nil
 	}
 	for row := range f.batch.Addresses {
 		h.addresses.touch(row)
@@ -205,12 +205,12 @@
 // heartbeats have stopped.
 const releaseTimeout = 500 * time.Millisecond
 
-// giveBack commits the remaining changes, up to ledger.MaxBatchRows, and releases the lease.
-func (h *shard) giveBack() error {
+// releaseLease commits the remaining changes, up to ledger.MaxBatchRows, and releases the lease.
+func (h *shard) releaseLease() error {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	h.mu.Lock()
-	f := &flight{batch: ledger.Batch{Progress: map[job.ID]*job.Progress{}, Release: true}}
+	f := &pendingCommit{batch: ledger.Batch{Progress: map[job.ID]*job.Progress{}, Release: true}}
 	rows := 0
 	for id := range h.dirty {
 		if rows < ledger.MaxBatchRows {
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -16,14 +16,14 @@
 	told         int64 // Number of the last end that the worker was told to forget.
 }
 
-// toldWithin is how long after a worker's last answer it may be told to forget ends. A restart takes longer than
+// forgetWindow is how long after a worker's last answer it may be told to forget ends. A restart takes longer than
 // that, so a later incarnation, which numbers its ends anew, never receives the number.
-const toldWithin = 250 * time.Millisecond
+const forgetWindow = 250 * time.Millisecond
 
 // toForget returns the number up to which a worker should forget its ends, or 0 if it was already told or if another
 // incarnation might receive the number.
 func (w *workerState) toForget() int64 {
-	if w.told >= w.acknowledged || w.failures > 0 || !w.isCertain() || time.Since(w.lookedAt) > toldWithin {
+	if w.told >= w.acknowledged || w.failures > 0 || !w.isCertain() || time.Since(w.lookedAt) > forgetWindow {
 		return 0
 	}
 	return w.acknowledged
@@ -35,24 +35,24 @@
 func (h *shard) takeEnds(w *workerState, report *fleet.Report) {
 	for i := range report.Ended {
 		if e := &report.Ended[i]; e.Number > w.applied {
-			h.takeEnd(w, report.Life, e)
+			h.applyEnd(w, report.Life, e)
 		}
 	}
-	w.applied = takenUpTo(w.applied, report)
+	w.applied = appliedUpTo(w.applied, report)
 }
 
 // takeFormerEnds applies the ends reported by an earlier incarnation of a worker. Their numbers are unrelated to
 // those of the current incarnation.
 func (h *shard) takeFormerEnds(w *workerState, report *fleet.Report) {
 	for i := range report.Ended {
-		h.takeEnd(w, report.Life, &report.Ended[i])
+		h.applyEnd(w, report.Life, &report.Ended[i])
 	}
 }
 
-// takenUpTo returns the number up to which all ends have been applied after those of a report were. A complete list
+// appliedUpTo returns the number up to which all ends have been applied after those of a report were. A complete list
 // leaves out only the ends that the worker was told to forget. In a truncated list, ends after a gap are not counted
 // and will be applied again.
-func takenUpTo(before int64, report *fleet.Report) int64 {
+func appliedUpTo(before int64, report *fleet.Report) int64 {
 	numbers := make([]int64, 0, len(report.Ended))
 	for i := range report.Ended {
 		numbers = append(numbers, report.Ended[i].Number)
@@ -75,8 +75,8 @@
 	return before
 }
 
-// takeEnd applies an end that an incarnation of a worker reports.
-func (h *shard) takeEnd(w *workerState, l life.ID, e *fleet.End) {
+// applyEnd applies an end that an incarnation of a worker reports.
+func (h *shard) applyEnd(w *workerState, l life.ID, e *fleet.End) {
 	r := w.runs[e.Task]
 	found := r != nil && r.number == e.Run && r.life.Is(l)
 	if found && !r.stray {
@@ -87,13 +87,13 @@
 		h.dropRun(w, r)
 	}
 	line := h.unfollowedEnd(w, l, e)
-	line.Counts = h.endPast(w, e)
+	line.Counts = h.applyUntrackedEnd(w, e)
 	h.noteUnfollowed(line)
 }
 
-// endPast applies the end of a run that is no longer tracked and reports whether it changed anything. If it finishes
-// a task, other runs of that task are stopped.
-func (h *shard) endPast(w *workerState, e *fleet.End) bool {
+// applyUntrackedEnd applies the end of a run that is no longer tracked and reports whether it changed anything. If it
+// finishes a task, other runs of that task are stopped.
+func (h *shard) applyUntrackedEnd(w *workerState, e *fleet.End) bool {
 	j := h.jobs[e.Task.Job]
 	if j == nil {
 		return false
@@ -105,10 +105,10 @@
 	h.touch(e.Task.Job)
 	g := job.Group{Occurrence: e.Task.Occurrence, Step: e.Task.Step}
 	if e.Outcome == job.FailedRun {
-		j.noteFailedAt(g, w.ID, true)
+		j.recordFailure(g, w.ID, true)
 	}
 	if e.Outcome == job.Succeeded {
-		h.stopDone(j, g)
+		h.stopFinishedTasks(j, g)
 	}
 	if j.Progress.State != before && j.Progress.State.Final() {
 		h.jobEnded(j)
@@ -116,8 +116,8 @@
 	return true
 }
 
-// stopDone stops runs of a group's tasks that were finished by an earlier run.
-func (h *shard) stopDone(j *liveJob, g job.Group) {
+// stopFinishedTasks stops runs of a group's tasks that were finished by an earlier run.
+func (h *shard) stopFinishedTasks(j *liveJob, g job.Group) {
 	for _, w := range h.workers {
 		for task, r := range w.runs {
 			if task.Job != j.Request.ID || r.group() != g {
@@ -130,9 +130,9 @@
 	}
 }
 
-// noteFailedAt records that a run of a group failed on a worker, or certainly never began there if failed is false.
+// recordFailure records that a run of a group failed on a worker, or certainly never began there if failed is false.
 // Other workers are tried first.
-func (j *liveJob) noteFailedAt(g job.Group, worker string, failed bool) {
+func (j *liveJob) recordFailure(g job.Group, worker string, failed bool) {
 	if j.avoid[g] == nil {
 		j.avoid[g] = map[string]bool{}
 	}
--- a/internal/scheduler/ends_test.go
+++ b/internal/scheduler/ends_test.go
@@ -14,11 +14,11 @@
 	"github.com/pulleyring/pulleyring/internal/script"
 )
 
-// TestListedEndsCount runs the cases of testdata/ends.txt. It fails if the end of a run is ignored that was presumed
-// ended but whose worker was still alive. A box placed such a task elsewhere and acknowledged the reported end
-// without applying it, so that finished tasks ran again and failed runs did not count as attempts. It also logged
-// runs that it had placed itself as "nobody placed it here".
-func TestListedEndsCount(t *testing.T) {
+// TestEndsOfUntrackedRunsAreApplied runs the cases of testdata/ends.txt. It fails if the end of a run is ignored that
+// was presumed ended but whose worker was still alive. A box placed such a task elsewhere and acknowledged the
+// reported end without applying it, so that finished tasks ran again and failed runs did not count as attempts. It
+// also logged runs that it had placed itself as "nobody placed it here".
+func TestEndsOfUntrackedRunsAreApplied(t *testing.T) {
 	for _, c := range script.Cases(t, "testdata/ends.txt") {
 		p := &reportCase{h: keptShard(), workers: map[string]*workerState{}}
 		c.Run(t, p.step)
@@ -34,10 +34,10 @@
 func (c *reportCase) step(words []string) error {
 	switch words[0] {
 	case "job":
-		return c.handIn(words[1:])
+		return c.submit(words[1:])
 	case "workers":
 		for _, id := range words[1:] {
-			c.add(id)
+			c.addWorker(id)
 		}
 		return nil
 	case "place":
@@ -49,7 +49,7 @@
 		c.h.loseWorker(c.workers[words[1]], recordGone)
 		return nil
 	case "returns":
-		c.add(words[1])
+		c.addWorker(words[1])
 		return nil
 	case "report":
 		return c.report(words[1:])
@@ -59,13 +59,13 @@
 	return c.expect(words)
 }
 
-func (c *reportCase) add(id string) {
+func (c *reportCase) addWorker(id string) {
 	w := workerOf(&fleet.Worker{ID: id})
 	c.workers[id], c.h.workers[id] = w, w
 	c.h.roster = nil
 }
 
-func (c *reportCase) handIn(words []string) error {
+func (c *reportCase) submit(words []string) error {
 	r := &job.Request{ID: "j", Steps: []job.Step{{Count: 1}}, Terms: job.Terms{Attempts: 1}}
 	for i := 0; i < len(words); i++ {
 		if words[i] == "gang" {
@@ -109,7 +109,7 @@
 		return errors.Wrap(err, "scheduler: clock is not a number")
 	}
 	w := c.workers[words[0]]
-	report, told := fleet.Report{Life: w.life, Clock: clock}, int64(0)
+	report, acknowledged := fleet.Report{Life: w.life, Clock: clock}, int64(0)
 	part := ""
 	for _, word := range words[2:] {
 		if word == "more" {
@@ -122,7 +122,7 @@
 		}
 		switch part {
 		case "told":
-			told, err = strconv.ParseInt(word, 10, 64)
+			acknowledged, err = strconv.ParseInt(word, 10, 64)
 		case "runs":
 			x := fleet.Run{Task: job.Task{Job: "j"}, Done: -1}
 			_, err = fmt.Sscanf(word, "%d/%d", &x.Task.Index, &x.Run)
@@ -134,7 +134,7 @@
 			return errors.Wrapf(err, "scheduler: %q", word)
 		}
 	}
-	c.h.takeReport(w, &report, w.mark(), told)
+	c.h.takeReport(w, &report, w.mark(), acknowledged)
 	return nil
 }
 
@@ -160,7 +160,7 @@
 	if dirty && f.batch.Progress["j"] == nil {
 		return errors.New("scheduler: the batch lacks the job's progress")
 	}
-	for ends, a := range f.applied {
+	for ends, a := range f.appliedEnds {
 		ends.acknowledged = a.upTo
 	}
 	return nil
@@ -179,7 +179,7 @@
 	case "failures":
 		got = strconv.Itoa(task.Failures)
 	case "follows":
-		got = followed(c.workers[words[1]])
+		got = trackedRuns(c.workers[words[1]])
 	case "acknowledges":
 		got = strconv.FormatInt(c.workers[words[1]].acknowledged, 10)
 	default:
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// followed lists the tracked runs of a worker.
-func followed(w *workerState) string {
+// trackedRuns lists the tracked runs of a worker.
+func trackedRuns(w *workerState) string {
 	var list []string
 	for t, r := range w.runs {
 		name := fmt.Sprintf("%d/%d", t.Index, r.number)
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -21,9 +21,9 @@
 	return r
 }
 
-// TestStepIsKnownFromItsFirstTask fails if the run time of a step's first task does not take precedence over the
+// TestFirstTaskSetsStepEstimate fails if the run time of a step's first task does not take precedence over the
 // declared run time and the queue's ratio.
-func TestStepIsKnownFromItsFirstTask(t *testing.T) {
+func TestFirstTaskSetsStepEstimate(t *testing.T) {
 	var e estimates
 	a, b := request("a", 4*time.Second, 2*time.Second), request("b", 6*time.Second)
 	quicktest.Assert(t, e.task(a, 0), quicktest.Equals, 4*time.Second)
@@ -31,7 +31,7 @@
 	quicktest.Assert(t, e.task(a, 0), quicktest.Equals, 8*time.Second)
 	// The queue's tasks take twice the declared time.
 	quicktest.Assert(t, e.task(a, 1), quicktest.Equals, 4*time.Second)
-	quicktest.Assert(t, e.whole(a), quicktest.Equals, 12*time.Second)
+	quicktest.Assert(t, e.jobTime(a), quicktest.Equals, 12*time.Second)
 	quicktest.Assert(t, e.task(b, 0), quicktest.Equals, 12*time.Second)
 	e.ran(a, 0, 10*time.Second)
 	quicktest.Assert(t, e.task(a, 0), quicktest.Equals, 9*time.Second)
@@ -39,14 +39,14 @@
 	quicktest.Assert(t, len(e.steps), quicktest.Equals, 0)
 }
 
-// TestLearnEarly fails if the progress of a run does not update the estimate of its step, or if it does so for a
+// TestLearnFromProgress fails if the progress of a run does not update the estimate of its step, or if it does so for a
 // remote run, which is slower because of its location.
-func TestLearnEarly(t *testing.T) {
+func TestLearnFromProgress(t *testing.T) {
 	for _, far := range []bool{false, true} {
 		h := &shard{}
 		a := request("a", 4*time.Second)
 		r := &run{job: &liveJob{Life: job.NewLife(a, nil)}, far: far}
-		r.progress, _ = told(0, 0.05, 0.1, 0.15, 0.2) // 0.1 per second.
+		r.progress, _ = progressOf(0, 0.05, 0.1, 0.15, 0.2) // 0.1 per second.
 		h.learnEarly(r)
 		h.learnEarly(r)
 		want := 10 * time.Second
--- a/internal/scheduler/follow_test.go
+++ b/internal/scheduler/follow_test.go
@@ -32,20 +32,20 @@
 	return Listing{Workers: []fleet.Worker{{ID: "w"}}, More: len(d.asked) <= d.full}, nil
 }
 
-// TestFullAnswersAreFollowedAtOnce fails if the scheduler pauses after a full answer about workers, while further
+// TestNoPauseAfterFullAnswer fails if the scheduler pauses after a full answer about workers, while further
 // changes wait at the store.
-func TestFullAnswersAreFollowedAtOnce(t *testing.T) {
+func TestNoPauseAfterFullAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, done := context.WithCancel(context.Background())
 		d := &fullDirectory{full: 3, done: done}
 		h := keptShard()
 		h.Directory, h.ctx = d, ctx
-		h.followWorkers(0, feedAge{})
+		h.watchDirectory(0, feedAge{})
 		h.ordering.Wait()
 		for i := 1; i < len(d.asked); i++ {
 			pause := time.Duration(0)
 			if i > d.full {
-				pause = workersPause
+				pause = workersPollDelay
 			}
 			quicktest.Check(t, d.asked[i].Sub(d.asked[i-1]), quicktest.Equals, pause)
 		}
@@ -53,10 +53,10 @@
 	})
 }
 
-// TestAgeOfNews fails if the age of reported changes is computed wrongly. A departing worker announces its remaining
+// TestAgeOfChanges fails if the age of reported changes is computed wrongly. A departing worker announces its remaining
 // time, counted from when it wrote its record. When it was counted from when a box read the record, the last runs
 // ended in the last ms of the worker's process and their ends were not reported.
-func TestAgeOfNews(t *testing.T) {
+func TestAgeOfChanges(t *testing.T) {
 	const ms = time.Millisecond
 	begin := time.Now()
 	at := func(d time.Duration) time.Time { return begin.Add(d) }
@@ -79,7 +79,7 @@
 		{"much news, long under way: it did not wait", 3910 * ms, 4100 * ms, 200, false, 3600 * ms},
 		{"after that", 4400 * ms, 4405 * ms, 1, false, 3910 * ms},
 	} {
-		quicktest.Check(t, age.took(at(c.began), at(c.came), c.news, c.more), quicktest.Equals, at(c.want), quicktest.Commentf(c.name))
+		quicktest.Check(t, age.record(at(c.began), at(c.came), c.news, c.more), quicktest.Equals, at(c.want), quicktest.Commentf(c.name))
 	}
 }
 
@@ -102,17 +102,17 @@
 	time.Sleep(d.takes[len(d.asked)-1])
 	leaves := len(d.asked) == len(d.takes)
 	l := Listing{Workers: []fleet.Worker{{ID: "w", Draining: leaves, Leaves: 3 * time.Second}}}
-	for i := range fewNews {
+	for i := range maxAwaitedChanges {
 		l.Workers = append(l.Workers, fleet.Worker{ID: fmt.Sprint("v", i)})
 	}
 	return l, nil
 }
 
-// TestALateAnswerTellsOldNews fails if a late answer to a call that did not wait counts as recent changes. An answer
+// TestLateAnswerHasOldChanges fails if a late answer to a call that did not wait counts as recent changes. An answer
 // that came 0.1 s after its call was taken for one that had waited. With 1,100 workers and a store that rejected some
 // boxes' calls, records that were 0.4 s old counted as just written. Workers were drained so late that the ends of 60
 // to 90 runs were not reported, and those waited 5 s for the leases to expire.
-func TestALateAnswerTellsOldNews(t *testing.T) {
+func TestLateAnswerHasOldChanges(t *testing.T) {
 	for _, late := range []time.Duration{0, 110 * time.Millisecond, 400 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -120,7 +120,7 @@
 			w.clock = 0 // No poll is sent.
 			d := &lateDirectory{takes: []time.Duration{0, late}}
 			h.Directory, h.ctx = d, ctx
-			h.ordering.Go(func() { h.followWorkers(0, feedAge{}) })
+			h.ordering.Go(func() { h.watchDirectory(0, feedAge{}) })
 			time.Sleep(5 * time.Second)
 			cancel()
 			h.ordering.Wait()
--- a/internal/scheduler/halls.go
+++ b/internal/scheduler/halls.go
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 )
 
-// orderReserve is the safety margin before the time after which nothing may start in an emptied hall. A command under
+// startReserve is the safety margin before the time after which nothing may start in an emptied hall. A command under
 // way is given up after 0.7 s.
-const orderReserve = time.Second
+const startReserve = time.Second
 
 // openHalls decides in which halls work may start. The list of emptied halls has an age: once an instruction that has
 // not been read yet could be in force, nothing may start in any hall. Without that limit, work submitted after an 8 s
@@ -18,24 +18,24 @@
 // hall.
 type openHalls struct {
 	queue.Halls
-	Within time.Duration // Time after a hall was emptied after which nothing may start there; 0 for no limit.
+	Grace time.Duration // Time after a hall was emptied after which nothing may start there; 0 for no limit.
 }
 
-// known reports whether the list is recent enough that no instruction in force can be missing.
-func (o *openHalls) known(now time.Time) bool {
+// isKnown reports whether the list is recent enough that no instruction in force can be missing.
+func (o *openHalls) isKnown(now time.Time) bool {
 	if o.AsOf.IsZero() {
 		return false
 	}
-	return o.Within == 0 || now.Sub(o.AsOf) <= o.Within-orderReserve
+	return o.Grace == 0 || now.Sub(o.AsOf) <= o.Grace-startReserve
 }
 
-// open reports whether work may start in a hall.
-func (o *openHalls) open(hall string, now time.Time) bool {
-	return o.known(now) && !o.IsEmptied(hall)
+// isOpen reports whether work may start in a hall.
+func (o *openHalls) isOpen(hall string, now time.Time) bool {
+	return o.isKnown(now) && !o.IsEmptied(hall)
 }
 
-// seenHalls holds what the last decision knew about emptied halls.
-type seenHalls struct {
+// knownHalls holds what the last decision knew about emptied halls.
+type knownHalls struct {
 	emptied []string
 	unknown bool // The list was too old.
 }
@@ -48,29 +48,29 @@
 	return openHalls{h.Halls(), h.Bounds.Emptied}
 }
 
-// takeHalls returns the halls that are open at a decision. It drops reservations in halls that are now emptied, so
+// updateHalls returns the halls that are open at a decision. It drops reservations in halls that are now emptied, so
 // that other capacity is sought at once and not when the reservation expires, up to 8 s later.
-func (h *shard) takeHalls(now time.Time) openHalls {
+func (h *shard) updateHalls(now time.Time) openHalls {
 	halls := h.openHalls()
-	if known := halls.known(now); known == h.halls.unknown {
-		h.halls.unknown = !known
+	if known := halls.isKnown(now); known == h.lastHalls.unknown {
+		h.lastHalls.unknown = !known
 		h.Log.Warn("scheduler: state of emptied halls became known or unknown; nothing starts while it is unknown", zap.Bool("known", known), zap.Time("as_of", halls.AsOf))
 	}
-	if slices.Equal(halls.Emptied, h.halls.emptied) {
+	if slices.Equal(halls.Emptied, h.lastHalls.emptied) {
 		return halls
 	}
-	h.halls.emptied = halls.Emptied
-	clear(h.noPlan)
-	for key, c := range h.claims {
-		if h.claimsIn(&c, &halls) {
-			delete(h.claims, key)
+	h.lastHalls.emptied = halls.Emptied
+	clear(h.noPlanUntil)
+	for key, c := range h.reservations {
+		if h.reservesIn(&c, &halls) {
+			delete(h.reservations, key)
 		}
 	}
 	return halls
 }
 
-// claimsIn reports whether a reservation includes a worker in an emptied hall.
-func (h *shard) claimsIn(c *claimed, halls *openHalls) bool {
+// reservesIn reports whether a reservation includes a worker in an emptied hall.
+func (h *shard) reservesIn(c *reservation, halls *openHalls) bool {
 	for _, worker := range c.workers {
 		if w := h.workers[worker]; w != nil && halls.IsEmptied(w.Hall) {
 			return true
@@ -86,7 +86,7 @@
 		zap.String("hall", w.Hall), zap.Int("try", try), zap.String("why", why))
 	r.ordering = false
 	if try == 1 {
-		h.refused(w, r)
+		h.endUnstarted(w, r)
 		return
 	}
 	r.gaveUp = time.Now()
--- a/internal/scheduler/held_test.go
+++ b/internal/scheduler/held_test.go
@@ -16,9 +16,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestKeptViewEqualsOneCollectedAnew fails if the view that is updated with each event differs from one that is built
+// TestUpdatedViewEqualsRebuiltView fails if the view that is updated with each event differs from one that is built
 // from scratch, after random events of jobs, runs and workers.
-func TestKeptViewEqualsOneCollectedAnew(t *testing.T) {
+func TestUpdatedViewEqualsRebuiltView(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := keptShard()
 		for n := range rapid.IntRange(1, 40).Draw(r, "events") {
@@ -104,8 +104,8 @@
 	return all[rapid.IntRange(0, len(all)-1).Draw(r, "run")]
 }
 
-// collected is the expected view of an allocation.
-type collected struct {
+// wantAllocation is the expected view of an allocation.
+type wantAllocation struct {
 	workers  []string // Sorted, one entry for each task.
 	stopping bool
 }
@@ -113,7 +113,7 @@
 // compareView checks the updated view against one that is built from the workers' runs.
 func compareView(r *rapid.T, h *shard) {
 	view := h.takeView(time.Now())
-	want := map[string]*collected{}
+	want := map[string]*wantAllocation{}
 	for _, id := range slices.Sorted(maps.Keys(h.workers)) {
 		w := h.workers[id]
 		used, freeing := job.Resources{}, job.Resources{}
@@ -122,9 +122,9 @@
 			if x.stopping {
 				freeing = freeing.Add(x.each)
 			}
-			key := holdingKey(x.task.Job, x.group(), x.task.Index, x.job)
+			key := allocationKey(x.task.Job, x.group(), x.task.Index, x.job)
 			if want[key] == nil {
-				want[key] = &collected{}
+				want[key] = &wantAllocation{}
 			}
 			want[key].workers = append(want[key].workers, id)
 			want[key].stopping = want[key].stopping || x.stopping
@@ -138,23 +138,23 @@
 		r.Fatalf("%d workers and %d holdings, want %d and %d", len(view.Workers), len(view.Holdings), len(h.workers), len(want))
 	}
 	for i := range view.Holdings {
-		compareHolding(r, h, view, i, want)
+		compareAllocation(r, h, view, i, want)
 	}
 }
 
-// holdingKey returns the key of the allocation that a run belongs to.
-func holdingKey(id job.ID, g job.Group, index int, j *liveJob) string {
+// allocationKey returns the key of the allocation that a run belongs to.
+func allocationKey(id job.ID, g job.Group, index int, j *liveJob) string {
 	if j.Request.Steps[g.Step].Gang {
 		index = -1
 	}
 	return fmt.Sprint(id, g, index)
 }
 
-// compareHolding checks an allocation of the view against the expected one and against its runs' expected ends.
-func compareHolding(r *rapid.T, h *shard, view *placement.View, i int, want map[string]*collected) {
+// compareAllocation checks an allocation of the view against the expected one and against its runs' expected ends.
+func compareAllocation(r *rapid.T, h *shard, view *placement.View, i int, want map[string]*wantAllocation) {
 	got := &view.Holdings[i]
 	first := h.holdings.list[i].runs[0]
-	expected := want[holdingKey(got.Job, got.Group, first.task.Index, first.job)]
+	expected := want[allocationKey(got.Job, got.Group, first.task.Index, first.job)]
 	if expected == nil {
 		r.Fatalf("nothing holds %+v", got)
 	}
--- a/internal/scheduler/home_test.go
+++ b/internal/scheduler/home_test.go
@@ -12,11 +12,11 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// TestAnotherLifeElsewhereAfterATakeover fails if an answer from a different address ends the runs of a worker after
-// a takeover. The record may hold another address than the one at which the predecessor reached the worker, for
-// example while another writer's record is in its place. A worker at that address answers as another incarnation,
-// which was taken as the end of all runs.
-func TestAnotherLifeElsewhereAfterATakeover(t *testing.T) {
+// TestOtherIncarnationAtOtherAddressAfterTakeover fails if an answer from a different address ends the runs of a
+// worker after a takeover. The record may hold another address than the one at which the predecessor reached the
+// worker, for example while another writer's record is in its place. A worker at that address answers as another
+// incarnation, which was taken as the end of all runs.
+func TestOtherIncarnationAtOtherAddressAfterTakeover(t *testing.T) {
 	for _, c := range []struct {
 		name, before, recorded string
 		ended                  bool
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	// leaseLength is the time for which leases on workers are renewed, if the site allows that much. Runs of a silent
+	// leaseDuration is the time for which leases on workers are renewed, if the site allows that much. Runs of a silent
 	// worker are started elsewhere only once its lease has certainly expired, so each second delays them. If leases
 	// are too short, work ends during takeovers between boxes. Between 4, 6, 8 and 10 s the mean value of 20 days
 	// with faults differs by 0.001 at each of two sites, with a standard error of 0.009 to 0.011.
-	leaseLength = 6 * time.Second
-	// leavingLength is the same for a worker that is departing or whose record was removed: it will soon be silent,
-	// and its runs end with it in any case.
-	leavingLength = 2500 * time.Millisecond
+	leaseDuration = 6 * time.Second
+	// departingLeaseDuration is the same for a worker that is departing or whose record was removed: it will soon be
+	// silent, and its runs end with it in any case.
+	departingLeaseDuration = 2500 * time.Millisecond
 	// renewedFor is how long after its last commit a lease term may renew leases on workers. A box that was replaced
 	// and has not noticed must stop at some time, because its successor may be unable to reach every worker that it
 	// can reach. In an outage of the store, runs continue for this time plus one lease.
 	renewedFor = 8 * time.Second
-	// killSlack is how much longer than the stop time a worker may need to end its runs after its lease has expired,
+	// stopSlack is how much longer than the stop time a worker may need to end its runs after its lease has expired,
 	// as processes on a busy machine are late.
-	killSlack = 300 * time.Millisecond
+	stopSlack = 300 * time.Millisecond
 )
 
-// tenureTimes holds the times that limit which leases on workers this box may renew, and how long a predecessor's
+// leaseTermTimes holds the times that limit which leases on workers this box may renew, and how long a predecessor's
 // leases may last.
-type tenureTimes struct {
+type leaseTermTimes struct {
 	// Start of the last successful commit. The shard's lease was certainly held at some time after that.
-	held      time.Time
-	heldSlept time.Duration // Total time that the machine had been suspended by then.
-	marks     marks         // The last commits with the versions that the store gave them.
-	quiet     time.Time     // No predecessor committed anything after this time.
-	storeOut  time.Time     // Time of the last failed call to the store.
-	replaced  bool          // Another box holds the lease.
+	held                time.Time
+	lastCommitSuspended time.Duration // Total time that the machine had been suspended by then.
+	marks               marks         // The last commits with the versions that the store gave them.
+	quiet               time.Time     // No predecessor committed anything after this time.
+	storeOut            time.Time     // Time of the last failed call to the store.
+	replaced            bool          // Another box holds the lease.
 }
 
 // leases holds what is known about the leases on a worker.
@@ -50,7 +50,7 @@
 func slowed(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + clockDrift)) }
 
 // endsWithin returns how long after its lease has expired, by its own clock, a worker has certainly ended all runs.
-func (b *Bounds) endsWithin() time.Duration { return b.StopTime + killSlack }
+func (b *Bounds) endsWithin() time.Duration { return b.StopTime + stopSlack }
 
 // longestLease returns when all runs have certainly ended whose leases were renewed until a given time, by any box.
 func (b *Bounds) longestLease(renewed time.Time) time.Time {
@@ -58,11 +58,11 @@
 }
 
 // lease returns the time for which leases on a worker are renewed.
-func (b *Bounds) lease(leaving bool) time.Duration {
-	if leaving {
-		return min(leavingLength, b.MaxLease)
+func (b *Bounds) lease(departing bool) time.Duration {
+	if departing {
+		return min(departingLeaseDuration, b.MaxLease)
 	}
-	return min(leaseLength, b.MaxLease)
+	return min(leaseDuration, b.MaxLease)
 }
 
 // leaves reports whether a worker is departing: it has announced that, or its record was removed.
@@ -74,7 +74,7 @@
 func (h *shard) renew(w *workerState) int64 {
 	now := time.Now()
 	renewed := now
-	if last := h.held.Add(renewedFor - h.sleptSince(h.heldSlept)); renewed.After(last) {
+	if last := h.held.Add(renewedFor - h.suspendedSince(h.lastCommitSuspended)); renewed.After(last) {
 		renewed = last
 	}
 	until := renewed.Add(h.Bounds.lease(w.leaves()))
@@ -94,12 +94,14 @@
 	}
 }
 
-// sleptSince returns how long the machine has been suspended since the total was before. The monotonic clock does not
-// count that time.
-func (h *shard) sleptSince(before time.Duration) time.Duration { return max(h.sleptSoFar()-before, 0) }
+// suspendedSince returns how long the machine has been suspended since the total was before. The monotonic clock does
+// not count that time.
+func (h *shard) suspendedSince(before time.Duration) time.Duration {
+	return max(h.totalSuspended()-before, 0)
+}
 
-// sleptSoFar returns the total time that the machine has been suspended, or 0 if it can't be measured.
-func (h *shard) sleptSoFar() time.Duration {
+// totalSuspended returns the total time that the machine has been suspended, or 0 if it can't be measured.
+func (h *shard) totalSuspended() time.Duration {
 	if h.Slept == nil {
 		return 0
 	}
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -11,43 +11,43 @@
 	"go.uber.org/zap"
 )
 
-// claimKey identifies a group of a job.
-type claimKey struct {
+// groupKey identifies a group of a job.
+type groupKey struct {
 	job   job.ID
 	group job.Group
 }
 
-// claimed is capacity that is reserved for a waiting group until running work there has ended.
-type claimed struct {
-	workers  map[int]string // Worker names by the index of the task.
-	until    time.Time      // When the reservation expires and a new plan is made.
-	draining bool           // No work is preempted for the reservation.
+// reservation is capacity that is reserved for a waiting group until running work there has ended.
+type reservation struct {
+	workers           map[int]string // Worker names by the index of the task.
+	until             time.Time      // When the reservation expires and a new plan is made.
+	withoutPreemption bool           // No work is preempted for the reservation.
 }
 
 // plans holds what decisions remember about waiting groups.
 type plans struct {
-	claims     map[claimKey]claimed   // Capacity that is reserved.
-	noPlan     map[claimKey]time.Time // Until when no new plan to free capacity is made.
-	waitLogged map[claimKey]time.Time // When the reason for waiting was last logged.
+	reservations map[groupKey]reservation // Capacity that is reserved.
+	noPlanUntil  map[groupKey]time.Time   // Until when no new plan to free capacity is made.
+	waitLoggedAt map[groupKey]time.Time   // When the reason for waiting was last logged.
 }
 
-// claimSlack is how much longer than a stop a reservation is kept. It covers two commits and the commands to the
+// reservationSlack is how much longer than a stop a reservation is kept. It covers two commits and the commands to the
 // worker.
-const claimSlack = 600 * time.Millisecond
+const reservationSlack = 600 * time.Millisecond
 
-// planRetry is the delay before another plan to free capacity is made after none was found. Planning is the costly
+// planRetryDelay is the delay before another plan to free capacity is made after none was found. Planning is the costly
 // part of a decision.
-const planRetry = 250 * time.Millisecond
+const planRetryDelay = 250 * time.Millisecond
 
-// drainFor is how long a reservation without preemption is kept for a gang before another place is sought: about as
-// long as batch work runs.
-const drainFor = 8 * time.Second
+// maxReservationWait is how long a reservation without preemption is kept for a gang before another place is sought:
+// about as long as batch work runs.
+const maxReservationWait = 8 * time.Second
 
-// pass makes a placement decision and applies it: it stops preempted work, keeps reservations and places what starts.
-func (h *shard) pass() {
+// decide makes a placement decision and applies it: it stops preempted work, keeps reservations and places what starts.
+func (h *shard) decide() {
 	h.changed = false
 	now := time.Now()
-	h.lastPass = now
+	h.lastDecision = now
 	view := h.takeView(now)
 	h.Figures.Took("scheduler_view", time.Since(now))
 	if len(view.Demands) == 0 {
@@ -61,21 +61,21 @@
 		}
 	}
 	for _, i := range out.Dropped {
-		delete(h.claims, claimKey{view.Demands[i].Job, view.Demands[i].Group})
+		delete(h.reservations, groupKey{view.Demands[i].Job, view.Demands[i].Group})
 	}
 	for _, c := range out.Claims {
 		d := &view.Demands[c.Demand]
-		kept := h.Bounds.StopTime + claimSlack
+		kept := h.Bounds.StopTime + reservationSlack
 		if c.Draining {
-			kept = drainFor
+			kept = maxReservationWait
 		}
-		h.claims[claimKey{d.Job, d.Group}] = claimed{c.Workers, now.Add(kept), c.Draining}
+		h.reservations[groupKey{d.Job, d.Group}] = reservation{c.Workers, now.Add(kept), c.Draining}
 		h.Log.Info("scheduler: reserving capacity", zap.String("job", string(d.Job)), zap.String("workspace", d.Workspace),
 			zap.Duration("waited", now.Sub(d.Since)), zap.Int("stops", len(out.Stops)), zap.Bool("draining", c.Draining))
 	}
 	for _, i := range out.NoPlans {
 		d := &view.Demands[i]
-		h.noPlan[claimKey{d.Job, d.Group}] = now.Add(planRetry)
+		h.noPlanUntil[groupKey{d.Job, d.Group}] = now.Add(planRetryDelay)
 	}
 	h.logWaits(view, &out, now)
 	for _, s := range out.Starts {
@@ -83,10 +83,11 @@
 	}
 }
 
-// waitLogEvery is the interval at which the reason why a group still waits is logged.
-const waitLogEvery = 5 * time.Second
+// waitLogInterval is the interval at which the reason why a group still waits is logged.
+const waitLogInterval = 5 * time.Second
 
-// logWaits logs why groups that have waited for at least waitLogEvery still wait, each at most once per waitLogEvery.
+// logWaits logs why groups that have waited for at least waitLogInterval still wait, each at most once per
+// waitLogInterval.
 func (h *shard) logWaits(view *placement.View, out *placement.Outcome, now time.Time) {
 	started := map[int]bool{}
 	for _, s := range out.Starts {
@@ -94,11 +95,11 @@
 	}
 	for i := range view.Demands {
 		d := &view.Demands[i]
-		key := claimKey{d.Job, d.Group}
-		if started[i] || now.Sub(d.Since) < waitLogEvery || now.Sub(h.waitLogged[key]) < waitLogEvery {
+		key := groupKey{d.Job, d.Group}
+		if started[i] || now.Sub(d.Since) < waitLogInterval || now.Sub(h.waitLoggedAt[key]) < waitLogInterval {
 			continue
 		}
-		h.waitLogged[key] = now
+		h.waitLoggedAt[key] = now
 		w := placement.Explain(view, i)
 		h.Log.Info("scheduler: waiting", zap.String("job", string(d.Job)), zap.Int("occurrence", d.Group.Occurrence),
 			zap.Int("step", d.Group.Step), zap.Duration("waited", now.Sub(d.Since)), zap.Duration("to_goal", d.Goal.Sub(now)),
@@ -111,51 +112,51 @@
 // place records a placement. The start commands are sent once it is committed.
 func (h *shard) place(d *placement.Demand, workers map[int]string, now time.Time) {
 	j := h.jobs[d.Job]
-	delete(h.claims, claimKey{d.Job, d.Group})
-	delete(h.noPlan, claimKey{d.Job, d.Group})
-	delete(h.waitLogged, claimKey{d.Job, d.Group})
-	lives := map[int]life.ID{}
+	delete(h.reservations, groupKey{d.Job, d.Group})
+	delete(h.noPlanUntil, groupKey{d.Job, d.Group})
+	delete(h.waitLoggedAt, groupKey{d.Job, d.Group})
+	incarnations := map[int]life.ID{}
 	for i, name := range workers {
-		lives[i] = h.workers[name].life
+		incarnations[i] = h.workers[name].life
 	}
-	orders := j.Place(d.Group, lives)
+	commands := j.Place(d.Group, incarnations)
 	h.Figures.Took("scheduler_waited", now.Sub(d.Since))
-	h.Figures.Add("runs_placed", int64(len(orders)))
+	h.Figures.Add("runs_placed", int64(len(commands)))
 	racks := map[string]bool{}
-	for _, o := range orders {
+	for _, o := range commands {
 		racks[h.workers[o.Worker.Worker].Rack] = true
 	}
-	far := 0
-	for _, o := range orders {
+	remote := 0
+	for _, o := range commands {
 		w := h.workers[o.Worker.Worker]
 		r := &run{
 			life: o.Worker, task: o.Task, number: o.Run, saved: o.Saved, each: d.Step.Each, job: j, placed: now,
-			far: isFar(d.Step, racks, w.Rack),
+			far: isRemote(d.Step, racks, w.Rack),
 		}
 		if r.far {
-			far++
+			remote++
 		}
 		h.addRun(w, r)
-		h.launches = append(h.launches, r)
+		h.pendingStarts = append(h.pendingStarts, r)
 	}
 	h.touch(d.Job)
 	h.Log.Info("scheduler: placed", zap.String("job", string(d.Job)), zap.Int("occurrence", d.Group.Occurrence),
-		zap.Int("step", d.Group.Step), zap.Int("tasks", len(orders)), zap.Int("waiting", len(d.Waiting)),
+		zap.Int("step", d.Group.Step), zap.Int("tasks", len(commands)), zap.Int("waiting", len(d.Waiting)),
 		zap.Duration("waited", now.Sub(d.Since)), zap.Duration("to_goal", d.Goal.Sub(now)), zap.Bool("covered", d.Covered),
-		zap.Int("far", far), zap.Strings("racks", slices.Sorted(maps.Keys(racks))))
+		zap.Int("far", remote), zap.Strings("racks", slices.Sorted(maps.Keys(racks))))
 }
 
-// isFar reports whether a run takes longer than elsewhere: its data is in another rack, or its gang is spread over
+// isRemote reports whether a run takes longer than elsewhere: its data is in another rack, or its gang is spread over
 // several racks.
-func isFar(step *job.Step, racks map[string]bool, rack string) bool {
+func isRemote(step *job.Step, racks map[string]bool, rack string) bool {
 	if step.Gang && step.RackLocal && len(racks) > 1 {
 		return true
 	}
 	return step.DataRack != "" && step.DataRack != rack
 }
 
-// loss returns the core-seconds of work that are lost if a run is stopped.
-func (h *shard) loss(r *run, step *job.Step, now time.Time) float64 {
+// lostWork returns the core-seconds of work that are lost if a run is stopped.
+func (h *shard) lostWork(r *run, step *job.Step, now time.Time) float64 {
 	lost := now.Sub(r.placed)
 	if step.Checkpoints {
 		lost = min(lost, checkpointLoss)
--- a/internal/scheduler/patience_test.go
+++ b/internal/scheduler/patience_test.go
@@ -7,27 +7,28 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestPatienceFollowsTheFeed fails if the time that a feed may be quiet does not follow the mean gap between changes.
-func TestPatienceFollowsTheFeed(t *testing.T) {
-	var p patience
-	quicktest.Assert(t, p.quiet(), quicktest.Equals, quietMost)
+// TestFeedTimeoutFollowsMeanGap fails if the time that a feed may be quiet does not follow the mean gap between
+// changes.
+func TestFeedTimeoutFollowsMeanGap(t *testing.T) {
+	var p feedTimeout
+	quicktest.Assert(t, p.next(), quicktest.Equals, maxQuietTime)
 	for range 50 {
-		p.told(2, 80*time.Millisecond) // 25 changes per second.
+		p.recordChanges(2, 80*time.Millisecond) // 25 changes per second.
 	}
-	quicktest.Assert(t, p.quiet(), quicktest.Equals, 320*time.Millisecond)
+	quicktest.Assert(t, p.next(), quicktest.Equals, 320*time.Millisecond)
 	// No more requests are submitted.
-	for _, want := range []time.Duration{640 * time.Millisecond, quietMost, quietMost} {
-		p.heardNothing()
-		quicktest.Assert(t, p.quiet(), quicktest.Equals, want)
+	for _, want := range []time.Duration{640 * time.Millisecond, maxQuietTime, maxQuietTime} {
+		p.recordNoChange()
+		quicktest.Assert(t, p.next(), quicktest.Equals, want)
 	}
-	p.told(1, 40*time.Millisecond)
-	quicktest.Assert(t, p.quiet(), quicktest.Equals, 320*time.Millisecond)
+	p.recordChanges(1, 40*time.Millisecond)
+	quicktest.Assert(t, p.next(), quicktest.Equals, 320*time.Millisecond)
 	for range 100 {
-		p.told(100, 80*time.Millisecond)
+		p.recordChanges(100, 80*time.Millisecond)
 	}
-	quicktest.Assert(t, p.quiet(), quicktest.Equals, quietLeast)
+	quicktest.Assert(t, p.next(), quicktest.Equals, minQuietTime)
 	for range 100 {
-		p.told(1, time.Second)
+		p.recordChanges(1, time.Second)
 	}
-	quicktest.Assert(t, p.quiet(), quicktest.Equals, quietMost)
+	quicktest.Assert(t, p.next(), quicktest.Equals, maxQuietTime)
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	// rateWindow is the shortest time over which the rate of a run is measured. Workers report progress in whole
+	// minRateWindow is the shortest time over which the rate of a run is measured. Workers report progress in whole
 	// percent, and the longest tasks take about 10 s.
-	rateWindow = 800 * time.Millisecond
-	// rateShare is the least progress from which a rate is measured, unless rateWindowMost has passed.
-	rateShare      = 0.04
-	rateWindowMost = 3 * time.Second
-	// staleAfter is the age from which reported progress is no longer used to predict the end of a run.
-	staleAfter = 5 * time.Second
-	// stallSeen is how long a run must have made no progress, according to its worker's reports, before it counts as
-	// stalled. It is longer than a poll takes.
-	stallSeen = 1200 * time.Millisecond
+	minRateWindow = 800 * time.Millisecond
+	// minRateShare is the least progress from which a rate is measured, unless maxRateWindow has passed.
+	minRateShare  = 0.04
+	maxRateWindow = 3 * time.Second
+	// progressMaxAge is the age from which reported progress is no longer used to predict the end of a run.
+	progressMaxAge = 5 * time.Second
+	// minStallObserved is how long a run must have made no progress, according to its worker's reports, before it
+	// counts as stalled. It is longer than a poll takes.
+	minStallObserved = 1200 * time.Millisecond
 	// stallShare is the progress that a stalled run should have made in the meantime at its expected rate: three of
 	// the whole percents in which progress is reported.
 	stallShare = 0.03
-	// stallPatience is the shortest time before a stalled run is stopped. Many stalls pass, and a restart loses the
+	// minStallTime is the shortest time before a stalled run is stopped. Many stalls pass, and a restart loses the
 	// work done.
-	stallPatience = 2500 * time.Millisecond
-	// stallDoubt is what a stalled run adds to its worker's failure score. A stalled gang adds stallDoubtGang to each
-	// of its workers, of which only one is to blame.
-	stallDoubt     = 1.5
-	stallDoubtGang = 0.5
+	minStallTime = 2500 * time.Millisecond
+	// stallFailureScore is what a stalled run adds to its worker's failure score. A stalled gang adds
+	// gangStallFailureScore to each of its workers, of which only one is to blame.
+	stallFailureScore     = 1.5
+	gangStallFailureScore = 0.5
 )
 
 // progress holds how much of a run's work is done, as reported by its worker. Times are those of the reports.
 type progress struct {
-	share   float64   // Part of the work that is done, 0 to 1.
-	at      time.Time // Time of the last report.
-	moved   time.Time // When the share last grew.
-	rate    float64   // Share per second in the last window; 0 before the first window has ended.
-	best    float64   // The highest rate so far.
-	from    float64   // Share at the start of the window.
-	fromSet time.Time // Start of the window.
+	share       float64   // Part of the work that is done, 0 to 1.
+	at          time.Time // Time of the last report.
+	moved       time.Time // When the share last grew.
+	rate        float64   // Share per second in the last window; 0 before the first window has ended.
+	best        float64   // The highest rate so far.
+	windowShare float64   // Share at the start of the window.
+	windowStart time.Time // Start of the window.
 }
 
 // note records the share that a poll found.
 func (p *progress) note(share float64, now time.Time) {
 	if p.at.IsZero() {
-		p.moved, p.from, p.fromSet = now, share, now
+		p.moved, p.windowShare, p.windowStart = now, share, now
 	}
 	if share > p.share {
 		p.moved = now
 	}
-	window := now.Sub(p.fromSet)
-	if window >= rateWindow && (share-p.from >= rateShare || window >= rateWindowMost) {
-		p.rate = max(0, share-p.from) / window.Seconds()
+	window := now.Sub(p.windowStart)
+	if window >= minRateWindow && (share-p.windowShare >= minRateShare || window >= maxRateWindow) {
+		p.rate = max(0, share-p.windowShare) / window.Seconds()
 		p.best = max(p.best, p.rate)
-		p.from, p.fromSet = share, now
+		p.windowShare, p.windowStart = share, now
 	}
 	p.share, p.at = share, now
 }
@@ -65,12 +65,12 @@
 	if p.rate <= 0 {
 		return time.Time{}, time.Time{}
 	}
-	return p.at.Add(seconds((1 - p.share) / p.rate)), p.at.Add(staleAfter)
+	return p.at.Add(seconds((1 - p.share) / p.rate)), p.at.Add(progressMaxAge)
 }
 
-// stalled returns for how long a run has made no progress although it should have, or 0 if it is not stalled. total
+// stalledFor returns for how long a run has made no progress although it should have, or 0 if it is not stalled. total
 // is the expected run time of the whole task.
-func (p *progress) stalled(total time.Duration) time.Duration {
+func (p *progress) stalledFor(total time.Duration) time.Duration {
 	if p.at.IsZero() || p.share >= 1 {
 		return 0
 	}
@@ -78,15 +78,15 @@
 	if expected == 0 {
 		expected = 1 / max(total.Seconds(), 1e-3)
 	}
-	still := p.at.Sub(p.moved)
-	if still < stallSeen || still.Seconds()*expected < stallShare {
+	unchanged := p.at.Sub(p.moved)
+	if unchanged < minStallObserved || unchanged.Seconds()*expected < stallShare {
 		return 0
 	}
-	return still
+	return unchanged
 }
 
-// slowed returns how many times slower than its best rate a run is now, or 1 if that is unknown.
-func (p *progress) slowed() float64 {
+// slowdown returns how many times slower than its best rate a run is now, or 1 if that is unknown.
+func (p *progress) slowdown() float64 {
 	if p.rate <= 0 || p.best <= 0 {
 		return 1
 	}
@@ -98,7 +98,7 @@
 	if r.confirmed.IsZero() || r.stopping || r.job.Request.Steps[r.task.Step].Lasting {
 		return 0
 	}
-	return r.progress.stalled(time.Duration(h.Bounds.Policy.FarFactor * float64(h.learned.task(r.job.Request, r.task.Step))))
+	return r.progress.stalledFor(time.Duration(h.Bounds.Policy.FarFactor * float64(h.learned.task(r.job.Request, r.task.Step))))
 }
 
 // stalls reports whether a single task is stalled on a worker, so that nothing new should start there. Gangs don't
@@ -116,21 +116,21 @@
 func (h *shard) endStalls(w *workerState, now time.Time) {
 	for _, r := range w.runs {
 		step := &r.job.Request.Steps[r.task.Step]
-		still := h.stalledFor(r)
-		if still < max(stallPatience, h.restartCost(r, step, now.Add(-still))) {
+		stalled := h.stalledFor(r)
+		if stalled < max(minStallTime, h.restartCost(r, step, now.Add(-stalled))) {
 			continue
 		}
 		h.Figures.Count("runs_stalled")
 		h.Log.Info("scheduler: a run is stalled; stopping it", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(w.life),
-			zap.Float64("done", r.progress.share), zap.Duration("for", still), zap.Duration("age", now.Sub(r.placed)), zap.Bool("gang", step.Gang))
+			zap.Float64("done", r.progress.share), zap.Duration("for", stalled), zap.Duration("age", now.Sub(r.placed)), zap.Bool("gang", step.Gang))
 		h.stop(w, r, "it makes no progress")
 		if !step.Gang {
-			w.doubt.add(stallDoubt, now)
+			w.doubt.add(stallFailureScore, now)
 			continue
 		}
-		w.doubt.add(stallDoubtGang, now)
-		h.eachMember(r, func(other *workerState, m *run) {
-			other.doubt.add(stallDoubtGang, now)
+		w.doubt.add(gangStallFailureScore, now)
+		h.forEachOtherMember(r, func(other *workerState, m *run) {
+			other.doubt.add(gangStallFailureScore, now)
 			h.stop(other, m, "another member makes no progress")
 		})
 	}
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -7,8 +7,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// told returns the progress of a run after polls every 500 ms that found these shares, and the time of the last poll.
-func told(shares ...float64) (p progress, last time.Time) {
+// progressOf returns the progress of a run after polls every 500 ms that found these shares, and the time of the last
+// poll.
+func progressOf(shares ...float64) (p progress, last time.Time) {
 	now := time.Unix(1000, 0)
 	for i, share := range shares {
 		last = now.Add(time.Duration(i) * 500 * time.Millisecond)
@@ -17,12 +18,12 @@
 	return p, last
 }
 
-// TestLeftAtThePresentRate fails if the end of a run is not predicted from its current rate.
-func TestLeftAtThePresentRate(t *testing.T) {
-	p, now := told(0.1, 0.2, 0.3, 0.4, 0.5) // 0.2 per second.
+// TestPredictedEnd fails if the end of a run is not predicted from its current rate.
+func TestPredictedEnd(t *testing.T) {
+	p, now := progressOf(0.1, 0.2, 0.3, 0.4, 0.5) // 0.2 per second.
 	ends, knownUntil := p.end()
 	quicktest.Assert(t, ends.Sub(now).Round(10*time.Millisecond), quicktest.Equals, 2500*time.Millisecond)
-	quicktest.Assert(t, knownUntil, quicktest.Equals, now.Add(staleAfter))
+	quicktest.Assert(t, knownUntil, quicktest.Equals, now.Add(progressMaxAge))
 	_, knownUntil = (&progress{}).end()
 	quicktest.Assert(t, knownUntil.IsZero(), quicktest.IsTrue)
 }
@@ -43,15 +44,15 @@
 		{"so long that nothing shows yet", []float64{0, 0, 0, 0, 0}, 100 * time.Second, 0},
 		{"is done", []float64{0.9, 1, 1, 1, 1, 1}, 5 * time.Second, 0},
 	} {
-		p, _ := told(c.shares...)
-		quicktest.Check(t, p.stalled(c.total), quicktest.Equals, c.want, quicktest.Commentf(c.name))
+		p, _ := progressOf(c.shares...)
+		quicktest.Check(t, p.stalledFor(c.total), quicktest.Equals, c.want, quicktest.Commentf(c.name))
 	}
 }
 
-// TestSlowed fails if a run whose rate drops is not reported as slower than its best rate.
-func TestSlowed(t *testing.T) {
-	p, _ := told(0.1, 0.2, 0.3, 0.4, 0.42, 0.44, 0.46, 0.48)
-	quicktest.Assert(t, p.slowed() > 3, quicktest.IsTrue, quicktest.Commentf("%v", p.slowed()))
-	p, _ = told(0.1, 0.2, 0.3, 0.4, 0.5)
-	quicktest.Assert(t, p.slowed() < 1.01, quicktest.IsTrue)
+// TestSlowdown fails if a run whose rate drops is not reported as slower than its best rate.
+func TestSlowdown(t *testing.T) {
+	p, _ := progressOf(0.1, 0.2, 0.3, 0.4, 0.42, 0.44, 0.46, 0.48)
+	quicktest.Assert(t, p.slowdown() > 3, quicktest.IsTrue, quicktest.Commentf("%v", p.slowdown()))
+	p, _ = progressOf(0.1, 0.2, 0.3, 0.4, 0.5)
+	quicktest.Assert(t, p.slowdown() < 1.01, quicktest.IsTrue)
 }
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -20,8 +20,8 @@
 // gang in 200.
 var startTimeouts = [...]time.Duration{300 * time.Millisecond, 400 * time.Millisecond, answerTimeout}
 
-// stopRetry is the delay before a stop that got no answer is sent again.
-const stopRetry = 150 * time.Millisecond
+// stopRetryDelay is the delay before a stop that got no answer is sent again.
+const stopRetryDelay = 150 * time.Millisecond
 
 // launch starts a run whose placement is committed.
 func (h *shard) launch(r *run) {
@@ -37,18 +37,18 @@
 func (h *shard) start(w *workerState, r *run) {
 	h.setClock(w)
 	for try := 1; ; try++ {
-		order, target, mark := h.nextStart(w, r, try)
-		if order == nil {
+		command, target, mark := h.nextStart(w, r, try)
+		if command == nil {
 			return
 		}
 		ctx, cancel := context.WithTimeout(h.ctx, h.startTimeout(w, try))
-		clock, err := h.Orders.Start(ctx, &target, order)
+		clock, err := h.Orders.Start(ctx, &target, command)
 		cancel()
 		if h.ctx.Err() != nil {
 			return
 		}
 		h.noteAnswer(err, time.Since(mark.at))
-		if h.started(w, r, mark, clock, err, try) {
+		if h.handleStartAnswer(w, r, mark, clock, err, try) {
 			return
 		}
 	}
@@ -66,7 +66,7 @@
 		h.withdraw(w, r, try, "its worker may have started again")
 		return nil, fleet.Worker{}, sentMark{}
 	}
-	if halls := h.openHalls(); !halls.open(w.Hall, time.Now()) {
+	if halls := h.openHalls(); !halls.isOpen(w.Hall, time.Now()) {
 		h.withdraw(w, r, try, "its hall is emptied")
 		return nil, fleet.Worker{}, sentMark{}
 	}
@@ -81,8 +81,8 @@
 	}, w.target(), w.mark()
 }
 
-// started handles the answer to a start and reports whether no further try is needed.
-func (h *shard) started(w *workerState, r *run, m sentMark, clock int64, err error, try int) bool {
+// handleStartAnswer handles the answer to a start and reports whether no further try is needed.
+func (h *shard) handleStartAnswer(w *workerState, r *run, m sentMark, clock int64, err error, try int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.answered(w, m, clock, err, "start")
@@ -98,10 +98,10 @@
 	h.Log.Info("scheduler: start not taken", zap.String("task", r.task.String()), zap.Int("run", r.number),
 		zap.Inline(r.life), zap.Int("try", try), logsink.Error(err))
 	refusal, refused := refusalOf(err)
-	if !refused && !notSent(err) {
+	if !refused && !certainlyNotSent(err) {
 		w.noteOpen(r, m.at)
 	}
-	surelyNot := try == 1 && (refused && refusal != fleet.Outdated || notSent(err))
+	surelyNot := try == 1 && (refused && refusal != fleet.Outdated || certainlyNotSent(err))
 	if surelyNot {
 		r.ordered = time.Time{} // This run can't be the cause of a failure of the worker.
 		if r.lost != nil {
@@ -119,7 +119,7 @@
 		return true
 	case surelyNot:
 		r.ordering = false
-		h.refused(w, r)
+		h.endUnstarted(w, r)
 		return true
 	case !refused && try < len(startTimeouts) && !w.Draining && !w.gone:
 		return false
@@ -132,13 +132,13 @@
 	return true
 }
 
-// notSent reports whether a command certainly did not reach the worker.
-func notSent(err error) bool {
+// certainlyNotSent reports whether a command certainly did not reach the worker.
+func certainlyNotSent(err error) bool {
 	return errors.Is(err, fleet.ErrNotSent) || errors.Is(err, fleet.ErrNotListening)
 }
 
-// refused ends a run that certainly did not start.
-func (h *shard) refused(w *workerState, r *run) {
+// endUnstarted ends a run that certainly did not start.
+func (h *shard) endUnstarted(w *workerState, r *run) {
 	if w.runs[r.task] != r {
 		return
 	}
@@ -191,7 +191,7 @@
 		}
 		h.noteFailure(w, mark, err, "stop")
 		h.mu.Unlock()
-		interval.Sleep(h.ctx, stopRetry)
+		interval.Sleep(h.ctx, stopRetryDelay)
 	}
 }
 
@@ -200,11 +200,11 @@
 	if !r.job.Request.Steps[r.task.Step].Gang {
 		return
 	}
-	h.eachMember(r, func(w *workerState, m *run) { h.stop(w, m, why) })
+	h.forEachOtherMember(r, func(w *workerState, m *run) { h.stop(w, m, why) })
 }
 
-// eachMember calls f for each other placed member of a run's gang.
-func (h *shard) eachMember(r *run, f func(w *workerState, m *run)) {
+// forEachOtherMember calls f for each other placed member of a run's gang.
+func (h *shard) forEachOtherMember(r *run, f func(w *workerState, m *run)) {
 	g := r.group()
 	for i, t := range r.job.Tasks(g) {
 		if i == r.task.Index {
@@ -234,11 +234,11 @@
 	}
 	h.learn(w, r, outcome)
 	if outcome == job.FailedRun || outcome == job.NeverRan {
-		j.noteFailedAt(g, w.ID, outcome == job.FailedRun)
+		j.recordFailure(g, w.ID, outcome == job.FailedRun)
 	}
 	// A run that never began keeps its waiting time: guaranteed work must start within its limit.
 	if outcome != job.NeverRan {
-		delete(j.since, g)
+		delete(j.readySince, g)
 	}
 	if j.Progress.State != before && j.Progress.State.Final() {
 		h.jobEnded(j)
@@ -253,7 +253,7 @@
 	fields := []zap.Field{
 		zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(r.life), zap.Stringer("outcome", outcome),
 		zap.Duration("age", time.Since(r.placed)), zap.String("stopped_for", r.stopWhy),
-		zap.Float64("core_seconds", h.loss(r, &r.job.Request.Steps[r.task.Step], time.Now())),
+		zap.Float64("core_seconds", h.lostWork(r, &r.job.Request.Steps[r.task.Step], time.Now())),
 		h.beliefOf(w),
 	}
 	if r.lost != nil {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -66,32 +66,33 @@
 	Log         *zap.Logger
 	Figures     *measure.Figures // nil to record no metrics.
 
-	live atomic.Pointer[shard] // The current lease term, for queries by operators; nil if there is none.
+	current atomic.Pointer[shard] // The current lease term, for queries by operators; nil if there is none.
 }
 
 // Timing of commits, decisions and reads of the store.
 const (
-	// beatEvery is the longest time between two commits. Other boxes take the lease after a few missed ones.
-	beatEvery = 300 * time.Millisecond
-	// commitSpacing is the shortest time between two commits. Each commit costs a paid call to the store and writes
+	// heartbeatInterval is the longest time between two commits. Other boxes take the lease after a few missed ones.
+	heartbeatInterval = 300 * time.Millisecond
+	// minCommitInterval is the shortest time between two commits. Each commit costs a paid call to the store and writes
 	// whole rows.
-	commitSpacing = 15 * time.Millisecond
+	minCommitInterval = 15 * time.Millisecond
 	// commitTimeout limits a commit. A call to the store usually takes 5 ms and about 80 times as long at its
 	// slowest.
 	commitTimeout = 1500 * time.Millisecond
-	// passEvery is the longest time between two decisions while work waits, as some decisions depend on the time.
-	passEvery = 100 * time.Millisecond
-	// retryPause is the delay before a failed call to the store is retried. For commits it doubles up to retryMost.
-	retryPause = 100 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
-	// workersQuiet is how long the feed of worker records may report no change before all records are read.
-	workersQuiet = 2 * time.Second
-	// workersPause is the delay between two reads of the workers' feed. Without it a third of all calls to the store
-	// were these reads (1,691 of 5,265 on a calm day of 85 s with 48 workers, 8,118 of 23,703 with 350), because
-	// every heartbeat of a worker ends a wait for changes. The delay does no harm, as a worker announces its
+	// maxDecisionInterval is the longest time between two decisions while work waits, as some decisions depend on the
+	// time.
+	maxDecisionInterval = 100 * time.Millisecond
+	// retryDelay is the delay before a failed call to the store is retried. For commits it doubles up to maxRetryDelay.
+	retryDelay    = 100 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// workersFeedTimeout is how long the feed of worker records may report no change before all records are read.
+	workersFeedTimeout = 2 * time.Second
+	// workersPollDelay is the delay between two reads of the workers' feed. Without it a third of all calls to the
+	// store were these reads (1,691 of 5,265 on a calm day of 85 s with 48 workers, 8,118 of 23,703 with 350),
+	// because every heartbeat of a worker ends a wait for changes. The delay does no harm, as a worker announces its
 	// departure seconds ahead. After a full answer there is no delay: 3,000 workers write 2,000 records a second, and
 	// with a delay after each 500 records departures were noticed 5 s late.
-	workersPause = 300 * time.Millisecond
+	workersPollDelay = 300 * time.Millisecond
 )
 
 // shard holds the state of one lease term and the lock that guards it. Fields that change together are in embedded
@@ -103,74 +104,74 @@
 	wake   chan struct{}
 
 	mu sync.Mutex
-	tenureTimes
+	leaseTermTimes
 	uncommitted
 	plans
 	pastWorkers
 	pastJobs
-	jobs      map[job.ID]*liveJob
-	workers   map[string]*workerState
-	roster    []*workerState // The workers sorted by name; nil after one was added or removed.
-	holdings  holdings
-	view      placement.View // The view of the last decision; its slices are reused.
-	losses    loss.Judge
-	changed   bool // Something changed that a decision may depend on.
-	lastPass  time.Time
-	learned   estimates
-	stepTimes map[claimKey]*stepTimes
-	outbreak  outbreak
-	addresses addresses
-	halls     seenHalls
-	answers   answerTimes
-	ordering  sync.WaitGroup
+	jobs         map[job.ID]*liveJob
+	workers      map[string]*workerState
+	roster       []*workerState // The workers sorted by name; nil after one was added or removed.
+	holdings     allocations
+	view         placement.View // The view of the last decision; its slices are reused.
+	losses       loss.Judge
+	changed      bool // Something changed that a decision may depend on.
+	lastDecision time.Time
+	learned      estimates
+	stepTimes    map[groupKey]*stepTimes
+	outbreak     outbreak
+	addresses    addresses
+	lastHalls    knownHalls
+	answers      answerTimes
+	ordering     sync.WaitGroup
 }
 
 // liveJob is a job that the scheduler tracks.
 type liveJob struct {
 	*job.Life
-	version int64                         // Newest version of the request's rows.
-	since   map[job.Group]time.Time       // When a group became ready to start.
-	avoid   map[job.Group]map[string]bool // Workers to avoid: true after a failed run, false if the run never began.
-	covered bool                          // Within its workspace's guarantee as of the last decision.
-	apart   map[job.ID]bool               // Up to apartMost jobs whose runs were lost together with this job's.
-	givenUp map[runKey]time.Time          // Runs that were presumed ended without a report from their worker, and when.
-	strays  map[job.Task]int              // Number of orphaned runs by task.
+	version    int64                         // Newest version of the request's rows.
+	readySince map[job.Group]time.Time       // When a group became ready to start.
+	avoid      map[job.Group]map[string]bool // Workers to avoid: true after a failed run, false if the run never began.
+	guaranteed bool                          // Within its workspace's guarantee as of the last decision.
+	apart      map[job.ID]bool               // Up to apartMost jobs whose runs were lost together with this job's.
+	givenUp    map[runKey]time.Time          // When runs were presumed ended without a report from their worker.
+	strays     map[job.Task]int              // Number of orphaned runs by task.
 }
 
 // Run schedules the shard until the lease is lost or ctx ends. If ctx ends, it releases the lease. It returns
 // ledger.ErrReplaced if another box has taken the lease.
-func (s *Scheduler) Run(ctx context.Context, tenure *ledger.Tenure) error {
+func (s *Scheduler) Run(ctx context.Context, term *ledger.Tenure) error {
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	h := newShard(inner, s, tenure)
-	h.held, h.heldSlept, h.quiet = tenure.Claimed, s.SleptBefore, tenure.Quiet
-	h.marks.add(tenure.Version(), tenure.Claimed)
+	h := newShard(inner, s, term)
+	h.held, h.lastCommitSuspended, h.quiet = term.Claimed, s.SleptBefore, term.Quiet
+	h.marks.add(term.Version(), term.Claimed)
 	defer h.ordering.Wait()
 	defer cancel()
 	began := time.Now()
 	version, listing, err := h.takeOver(ctx)
 	if ctx.Err() != nil {
-		return h.giveBack()
+		return h.releaseLease()
 	}
 	if err != nil {
 		return err
 	}
-	s.live.Store(h)
-	defer s.live.Store(nil)
-	h.ordering.Go(func() { h.followJobs(version) })
-	h.ordering.Go(func() { h.followWorkers(listing, feedAge{began}) })
+	s.current.Store(h)
+	defer s.current.Store(nil)
+	h.ordering.Go(func() { h.watchJobs(version) })
+	h.ordering.Go(func() { h.watchDirectory(listing, feedAge{began}) })
 	h.ordering.Go(h.forgetLoop)
 	return h.commitLoop(ctx)
 }
 
 // newShard returns the empty state of a new lease term.
-func newShard(ctx context.Context, s *Scheduler, tenure *ledger.Tenure) *shard {
+func newShard(ctx context.Context, s *Scheduler, term *ledger.Tenure) *shard {
 	return &shard{
-		Scheduler: s, tenure: tenure, ctx: ctx, wake: make(chan struct{}, 1),
+		Scheduler: s, tenure: term, ctx: ctx, wake: make(chan struct{}, 1),
 		uncommitted: uncommitted{dirty: map[job.ID]bool{}},
-		plans:       plans{claims: map[claimKey]claimed{}, noPlan: map[claimKey]time.Time{}, waitLogged: map[claimKey]time.Time{}},
+		plans:       plans{reservations: map[groupKey]reservation{}, noPlanUntil: map[groupKey]time.Time{}, waitLoggedAt: map[groupKey]time.Time{}},
 		pastWorkers: pastWorkers{lives: map[string]endedLife{}, givenUp: map[life.ID]*givenUp{}, owed: map[string]owedStops{}},
 		pastJobs:    pastJobs{early: map[job.ID]time.Time{}, away: map[job.ID][]string{}, forgotten: map[job.ID]forgotten{}},
-		jobs:        map[job.ID]*liveJob{}, workers: map[string]*workerState{}, stepTimes: map[claimKey]*stepTimes{},
+		jobs:        map[job.ID]*liveJob{}, workers: map[string]*workerState{}, stepTimes: map[groupKey]*stepTimes{},
 	}
 }
 
@@ -215,9 +216,9 @@
 	if h.jobs[r.ID] != nil {
 		return
 	}
-	j := &liveJob{Life: job.NewLife(r, p), since: map[job.Group]time.Time{}, avoid: map[job.Group]map[string]bool{}}
+	j := &liveJob{Life: job.NewLife(r, p), readySince: map[job.Group]time.Time{}, avoid: map[job.Group]map[string]bool{}}
 	h.jobs[r.ID] = j
-	h.learned.seen(r)
+	h.learned.addJob(r)
 	h.changed = true
 	for _, o := range j.Running() {
 		h.adopt(j, o)
@@ -255,22 +256,22 @@
 	}
 }
 
-// followJobs watches the store for requests and cancellations and applies them. When the feed is quiet for too long,
+// watchJobs watches the store for requests and cancellations and applies them. When the feed is quiet for too long,
 // it reads all rows.
-func (h *shard) followJobs(version int64) {
-	var patience patience
+func (h *shard) watchJobs(version int64) {
+	var timeout feedTimeout
 	for h.ctx.Err() == nil {
 		began := time.Now()
-		changes, err := h.Ledger.WatchJobs(h.ctx, version, patience.quiet())
+		changes, err := h.Ledger.WatchJobs(h.ctx, version, timeout.next())
 		if err == nil && len(changes.List) > 0 {
-			patience.told(len(changes.List), time.Since(began))
+			timeout.recordChanges(len(changes.List), time.Since(began))
 		} else {
-			patience.heardNothing()
+			timeout.recordNoChange()
 			changes, err = h.Ledger.Jobs(h.ctx)
 		}
 		if err != nil {
-			h.noteStore(err, "follow requests")
-			interval.Sleep(h.ctx, retryPause)
+			h.recordStoreFailure(err, "follow requests")
+			interval.Sleep(h.ctx, retryDelay)
 			continue
 		}
 		version = changes.Version
@@ -280,8 +281,8 @@
 	}
 }
 
-// noteStore logs a failed call to the store and records its time.
-func (h *shard) noteStore(err error, call string) {
+// recordStoreFailure logs a failed call to the store and records its time.
+func (h *shard) recordStoreFailure(err error, call string) {
 	h.Log.Warn("scheduler: a call to the store failed; retrying", zap.String("call", call), logsink.Error(err))
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scheduler/slept_test.go
+++ b/internal/scheduler/slept_test.go
@@ -8,23 +8,23 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestASuspendedBoxRenewsNoLonger fails if a box that was suspended renews leases for longer than its successor
+// TestSuspensionDoesNotExtendRenewals fails if a box that was suspended renews leases for longer than its successor
 // expects. The clock does not count the time suspended, so after waking, the box took its last commit for recent and
 // renewed the leases of a worker that its successor could not reach. Its runs continued while they were started
 // elsewhere.
-func TestASuspendedBoxRenewsNoLonger(t *testing.T) {
+func TestSuspensionDoesNotExtendRenewals(t *testing.T) {
 	for _, suspended := range []time.Duration{0, time.Second, 5 * time.Second, 7900 * time.Millisecond, 8 * time.Second, 20 * time.Second, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
 			before, w := silentShard()
-			slept := time.Duration(0)
-			before.Slept = func() time.Duration { return slept }
+			total := time.Duration(0)
+			before.Slept = func() time.Duration { return total }
 			replacedAt := time.Now() // The successor's claim took effect right after the last commit.
 			bound := before.Bounds.longestLease(replacedAt.Add(renewedFor))
 			time.Sleep(100 * time.Millisecond)
-			slept = suspended
+			total = suspended
 			renewed := true
 			for ; renewed; time.Sleep(100 * time.Millisecond) {
-				w.heard((time.Since(replacedAt) + slept).Milliseconds() + 1) // The worker was not suspended.
+				w.heard((time.Since(replacedAt) + total).Milliseconds() + 1) // The worker was not suspended.
 				until := before.renew(w)
 				renewed = until > 0
 				if ends := replacedAt.Add(slowed(milliseconds(until))); !ends.Before(bound) {
--- a/internal/scheduler/speed.go
+++ b/internal/scheduler/speed.go
@@ -8,14 +8,14 @@
 const (
 	// speedWeight is the weight of the newest run in the estimate of a worker's speed.
 	speedWeight = 0.2
-	// speedSamples is how many tasks of a step must have ended before another one is compared with them.
-	speedSamples = 3
+	// minSpeedSamples is how many tasks of a step must have ended before another one is compared with them.
+	minSpeedSamples = 3
 )
 
 // stepTimes holds the run times of the tasks of a step that have ended.
 type stepTimes struct {
-	count int     // Number of ended tasks.
-	sum   float64 // Sum of the natural logarithms of their run times in seconds.
+	count  int     // Number of ended tasks.
+	logSum float64 // Sum of the natural logarithms of their run times in seconds.
 }
 
 // overdue returns how many times longer the runs on a worker have taken than the other tasks of their step, at least
@@ -24,27 +24,27 @@
 	most := 1.0
 	for _, r := range w.runs {
 		if !r.job.Request.Steps[r.task.Step].Gang {
-			most = max(most, r.progress.slowed())
+			most = max(most, r.progress.slowdown())
 		}
 		t := h.stepTimes[r.stepKey()]
-		if t == nil || t.count < speedSamples || r.saved != "" || r.confirmed.IsZero() {
+		if t == nil || t.count < minSpeedSamples || r.saved != "" || r.confirmed.IsZero() {
 			continue
 		}
-		most = max(most, now.Sub(r.placed).Seconds()/math.Exp(t.sum/float64(t.count)))
+		most = max(most, now.Sub(r.placed).Seconds()/math.Exp(t.logSum/float64(t.count)))
 	}
 	return most
 }
 
 // stepKey returns the key of a run's step. It is the same for all occurrences.
-func (r *run) stepKey() claimKey { return stepOf(r.task.Job, r.task.Step) }
+func (r *run) stepKey() groupKey { return stepOf(r.task.Job, r.task.Step) }
 
 // slowness holds how many times longer work takes on a worker than on others. The zero value is a worker of normal
 // speed.
 type slowness struct {
-	log float64 // Natural logarithm of the factor.
+	logFactor float64 // Natural logarithm of the factor.
 }
 
-func (s slowness) factor() float64 { return math.Exp(s.log) }
+func (s slowness) factor() float64 { return math.Exp(s.logFactor) }
 
 // learnSpeed updates a worker's speed by comparing a successful run with the other tasks of its step, which do
 // similar work.
@@ -59,9 +59,9 @@
 		h.stepTimes[r.stepKey()] = t
 	}
 	log := math.Log(took.Seconds())
-	if t.count >= speedSamples {
-		w.slow.log += speedWeight * (log - t.sum/float64(t.count) - w.slow.log)
+	if t.count >= minSpeedSamples {
+		w.slow.logFactor += speedWeight * (log - t.logSum/float64(t.count) - w.slow.logFactor)
 	}
 	t.count++
-	t.sum += log
+	t.logSum += log
 }
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -11,21 +11,21 @@
 	"go.uber.org/zap"
 )
 
-// takeoverPatience limits a takeover. When it has passed, the lease term ends and the lease may be claimed again. On
+// takeoverTimeout limits a takeover. When it has passed, the lease term ends and the lease may be claimed again. On
 // a link of 2 Mbit/s, reading the rows of 700 jobs takes about 4 s.
-const takeoverPatience = 8 * time.Second
+const takeoverTimeout = 8 * time.Second
 
-// recordAge is the greatest age of a worker's record at the start of a lease term: each worker rewrites its record
+// maxRecordAge is the greatest age of a worker's record at the start of a lease term: each worker rewrites its record
 // about every 1.5 s. Without an assumed age, everything on departing workers was stopped at once: 717 runs in one day
 // with 1,100 workers, 63 of which had 5 s left.
-const recordAge = 2 * time.Second
+const maxRecordAge = 2 * time.Second
 
 // takeOver reads the state that the lease term begins with, and renews the lease in the meantime. Without the
 // renewals, other boxes took the lease from a box with a slow link before it had read everything: with 41 boxes, 35
 // of them on 10 Mbit/s, ten lease terms in a row failed within 13 s after a power outage of all boxes.
 func (h *shard) takeOver(ctx context.Context) (jobsVersion, workersVersion int64, err error) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, takeoverPatience)
+	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
 	loaded := make(chan struct{})
 	go func() {
@@ -49,7 +49,7 @@
 // renewUntil renews the lease until done is closed. It returns ledger.ErrReplaced if another box has taken the lease.
 func (h *shard) renewUntil(ctx context.Context, done <-chan struct{}) error {
 	for {
-		interval.SleepOrWoken(ctx, beatEvery, done)
+		interval.SleepOrWoken(ctx, heartbeatInterval, done)
 		if ctx.Err() != nil {
 			<-done // The reads end with ctx as well.
 		}
@@ -58,14 +58,14 @@
 			return nil
 		default:
 		}
-		began, slept := time.Now(), h.sleptSoFar()
+		began, suspended := time.Now(), h.totalSuspended()
 		err := h.tenure.Commit(ctx, &ledger.Batch{})
 		if errors.Is(err, ledger.ErrReplaced) {
 			return err
 		}
 		if err == nil {
 			h.mu.Lock()
-			h.held, h.heldSlept = began, slept
+			h.held, h.lastCommitSuspended = began, suspended
 			h.marks.add(h.tenure.Version(), began)
 			h.mu.Unlock()
 		}
@@ -88,12 +88,12 @@
 		func() (err error) {
 			began := time.Now()
 			listing, err = h.Directory.Workers(ctx)
-			listing.AsOf = began.Add(-recordAge)
+			listing.AsOf = began.Add(-maxRecordAge)
 			return err
 		},
 	}
 	for _, read := range reads {
-		if err := h.insist(ctx, read); err != nil {
+		if err := h.retryRead(ctx, read); err != nil {
 			return 0, 0, err
 		}
 	}
@@ -105,15 +105,15 @@
 	return changes.Version, listing.Version, nil
 }
 
-// insist retries a read until it succeeds or ctx ends.
-func (h *shard) insist(ctx context.Context, read func() error) error {
+// retryRead retries a read until it succeeds or ctx ends.
+func (h *shard) retryRead(ctx context.Context, read func() error) error {
 	for {
 		err := read()
 		if err == nil {
 			return nil
 		}
-		h.noteStore(err, "take over")
-		if !interval.Sleep(ctx, retryPause) {
+		h.recordStoreFailure(err, "take over")
+		if !interval.Sleep(ctx, retryDelay) {
 			return err
 		}
 	}
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -16,14 +16,14 @@
 	v := &h.view
 	v.Now, v.Policy = now, h.Bounds.Policy
 	suspects := h.judgeLosses()
-	h.markCovered()
-	h.takeRoster()
+	h.markGuaranteed()
+	h.updateSortedWorkers()
 	v.Workers, v.Holdings, v.Demands = v.Workers[:0], v.Holdings[:0], v.Demands[:0]
-	halls := h.takeHalls(now)
+	halls := h.updateHalls(now)
 	outbreak := h.outbreak.active(now)
 	for _, w := range h.roster {
 		shown := w.view(now)
-		shown.Closed = !halls.open(w.Hall, now)
+		shown.Closed = !halls.isOpen(w.Hall, now)
 		shown.Usable = shown.Usable && !shown.Closed
 		shown.Begun = w.begun(now)
 		if suspects { // Only if needed: searching all runs for suspects takes half as long as the rest of the view.
@@ -33,7 +33,7 @@
 		v.Workers = append(v.Workers, shown)
 	}
 	for _, x := range h.holdings.list {
-		v.Holdings = append(v.Holdings, h.holdingView(x, now))
+		v.Holdings = append(v.Holdings, h.allocationView(x, now))
 	}
 	for _, j := range h.jobs {
 		for _, g := range j.Ready(now.UnixMilli()) {
@@ -48,16 +48,16 @@
 	return v
 }
 
-// takeRoster sorts the workers by name and renumbers them, once a worker was added or removed.
-func (h *shard) takeRoster() {
+// updateSortedWorkers sorts the workers by name and renumbers them, once a worker was added or removed.
+func (h *shard) updateSortedWorkers() {
 	if h.roster != nil {
 		return
 	}
 	h.roster = slices.SortedFunc(maps.Values(h.workers), func(x, y *workerState) int { return cmp.Compare(x.ID, y.ID) })
-	for seat, w := range h.roster {
-		w.seat = seat
+	for index, w := range h.roster {
+		w.seat = index
 	}
-	h.holdings.reseat()
+	h.holdings.updateWorkerIndexes()
 }
 
 // view returns the worker as decisions see it.
@@ -88,26 +88,26 @@
 
 // demand returns the demand of a waiting group of tasks.
 func (h *shard) demand(j *liveJob, g job.Group, now time.Time) placement.Demand {
-	since, ok := j.since[g]
+	since, ok := j.readySince[g]
 	if !ok {
 		since = now
-		j.since[g] = now
+		j.readySince[g] = now
 	}
 	r := j.Request
 	d := placement.Demand{
 		Job: r.ID, Group: g, Workspace: r.Terms.Workspace, Service: r.Terms.Service, Priority: r.Terms.Priority,
-		Step: &r.Steps[g.Step], Since: since, Remaining: h.learned.chain(r, g.Step), Covered: j.covered,
-		Avoid: j.avoid[g], Apart: j.apart, Work: h.workLeft(j, g),
+		Step: &r.Steps[g.Step], Since: since, Remaining: h.learned.chainTime(r, g.Step), Covered: j.guaranteed,
+		Avoid: j.avoid[g], Apart: j.apart, Work: h.remainingWork(j, g),
 	}
 	if d.Step.MostPerWorker > 0 {
 		d.Placed = map[string]int{}
 	}
 	tasks := j.Tasks(g)
-	held := 0
+	heldTasks := 0
 	for i := range tasks {
 		switch {
 		case tasks[i].State == job.Waiting && h.isHeld(j, j.Name(g, i)):
-			held++
+			heldTasks++
 		case tasks[i].State == job.Waiting:
 			d.Waiting = append(d.Waiting, i)
 			lost := j.LossesOf(j.Name(g, i))
@@ -122,7 +122,7 @@
 			d.Placed[tasks[i].Worker.Worker]++
 		}
 	}
-	if held > 0 && d.Step.Gang {
+	if heldTasks > 0 && d.Step.Gang {
 		d.Waiting = nil // A gang starts only as a whole.
 	}
 	allowed := h.allowed(r)
@@ -130,27 +130,27 @@
 	d.Goal, d.LastGoal = from.Add(allowed), from.Add(lateFactor*allowed)
 	d.Value = h.value(r)
 	d.LateValue = lateShare * d.Value
-	d.NoPlan = now.Before(h.noPlan[claimKey{r.ID, g}])
-	if c, ok := h.claims[claimKey{r.ID, g}]; ok && now.Before(c.until) {
-		d.Claim, d.Draining = c.workers, c.draining
+	d.NoPlan = now.Before(h.noPlanUntil[groupKey{r.ID, g}])
+	if c, ok := h.reservations[groupKey{r.ID, g}]; ok && now.Before(c.until) {
+		d.Claim, d.Draining = c.workers, c.withoutPreemption
 	}
 	return d
 }
 
 // allowed returns the time after its due time within which an occurrence earns its full value.
 func (h *shard) allowed(r *job.Request) time.Duration {
-	return time.Duration(r.Terms.Stretch*float64(h.learned.whole(r))) + r.Terms.Objective
+	return time.Duration(r.Terms.Stretch*float64(h.learned.jobTime(r))) + r.Terms.Objective
 }
 
 // value returns the most that one occurrence of a job can earn, in units of priorityValue.
 func (h *shard) value(r *job.Request) float64 {
 	weight := priorityValue[min(max(r.Terms.Priority, 0), len(priorityValue)-1)]
-	mean := max(h.learned.of(r.Terms.Queue).work.value, 1)
+	mean := max(h.learned.ofQueue(r.Terms.Queue).meanWork.value, 1)
 	return weight * (baseShare + (1-baseShare)*min(declaredWork(r)/mean, sizeCap)) / float64(r.Occurrences())
 }
 
-// workLeft returns the expected core-seconds of the tasks of an occurrence that still wait.
-func (h *shard) workLeft(j *liveJob, g job.Group) float64 {
+// remainingWork returns the expected core-seconds of the tasks of an occurrence that still wait.
+func (h *shard) remainingWork(j *liveJob, g job.Group) float64 {
 	sum := 0.0
 	for s := range j.Request.Steps {
 		step := &j.Request.Steps[s]
@@ -165,8 +165,8 @@
 	return sum
 }
 
-// markCovered marks the jobs of priority 0 that fit in their workspace's guarantee, the oldest jobs first.
-func (h *shard) markCovered() {
+// markGuaranteed marks the jobs of priority 0 that fit in their workspace's guarantee, the oldest jobs first.
+func (h *shard) markGuaranteed() {
 	left := map[string]int64{}
 	if c := h.Configuration(); c != nil {
 		for i := range c.Workspaces {
@@ -175,7 +175,7 @@
 	}
 	var urgent []*liveJob
 	for _, j := range h.jobs {
-		j.covered = false
+		j.guaranteed = false
 		if j.Request.Terms.Priority == 0 && !j.Progress.State.Final() {
 			urgent = append(urgent, j)
 		}
@@ -184,16 +184,16 @@
 		return cmp.Or(cmp.Compare(x.Request.Accepted, y.Request.Accepted), cmp.Compare(x.Request.ID, y.Request.ID))
 	})
 	for _, j := range urgent {
-		need := accelerators(j.Request)
+		need := peakAccelerators(j.Request)
 		if need <= left[j.Request.Terms.Workspace] {
 			left[j.Request.Terms.Workspace] -= need
-			j.covered = true
+			j.guaranteed = true
 		}
 	}
 }
 
-// accelerators returns the largest number of accelerators that a job can use at once if all its steps run together.
-func accelerators(r *job.Request) int64 {
+// peakAccelerators returns the largest number of accelerators that a job can use at once if all its steps run together.
+func peakAccelerators(r *job.Request) int64 {
 	sum := int64(0)
 	for i := range r.Steps {
 		sum += int64(r.Steps[i].Count) * r.Steps[i].Each.Accelerators
--- a/internal/scheduler/why.go
+++ b/internal/scheduler/why.go
@@ -13,7 +13,7 @@
 // Why returns the reasons, as of the last decision, why a job's tasks wait. It returns false if this box does not
 // schedule or does not know the job.
 func (s *Scheduler) Why(id job.ID) ([]string, bool) {
-	h := s.live.Load()
+	h := s.current.Load()
 	if h == nil {
 		return nil, false
 	}
@@ -26,7 +26,7 @@
 	lines := h.whyHeld(j)
 	for i := range h.view.Demands {
 		if d := &h.view.Demands[i]; d.Job == id && j.isWaiting(d) {
-			lines = append(lines, whyWaits(&h.view, i))
+			lines = append(lines, explainWait(&h.view, i))
 		}
 	}
 	return lines, true
@@ -46,7 +46,7 @@
 // whyHeld returns a line for each task that is not started because an orphaned run of it is being stopped, or because
 // workers that ran it became silent.
 func (h *shard) whyHeld(j *liveJob) []string {
-	lines := h.whyStray(j)
+	lines := h.explainOrphans(j)
 	for i, counted := range j.Progress.Losses {
 		t := j.TaskAt(i)
 		if p, ok := j.Task(t); !ok || p.State != job.Waiting || j.Progress.State.Final() {
@@ -61,9 +61,9 @@
 	return lines
 }
 
-// whyStray returns a line for each orphaned run that still runs, or may yet begin, and keeps its task from being
+// explainOrphans returns a line for each orphaned run that still runs, or may yet begin, and keeps its task from being
 // started.
-func (h *shard) whyStray(j *liveJob) []string {
+func (h *shard) explainOrphans(j *liveJob) []string {
 	var lines []string
 	for t := range j.strays {
 		for _, w := range h.workers {
@@ -77,8 +77,8 @@
 	return lines
 }
 
-// whyWaits returns a line that explains why a demand of a view waits.
-func whyWaits(v *placement.View, i int) string {
+// explainWait returns a line that explains why a demand of a view waits.
+func explainWait(v *placement.View, i int) string {
 	d, w := &v.Demands[i], placement.Explain(v, i)
 	text := fmt.Sprintf("step %d waits for room for %d tasks since %s: %d workers are suitable, there is room for %d now", d.Group.Step, w.Need,
 		v.Now.Sub(d.Since).Round(time.Millisecond), w.Suitable, w.Now)
