--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -39,7 +39,7 @@
 		lastCommit = time.Now()
 		err := h.commit(ctx, f)
 		if errors.Is(err, ledger.ErrReplaced) {
-			h.Log.Warn("scheduler: replaced by another box", zap.Int64("epoch", h.tenure.Epoch()))
+			h.Log.Warn("scheduler: another box has taken the lease; ending the lease term", zap.Int64("epoch", h.tenure.Epoch()))
 			return err
 		}
 		if err != nil {
--- a/internal/scheduler/ends_test.go
+++ b/internal/scheduler/ends_test.go
@@ -14,10 +14,10 @@
 	"github.com/pulleyring/pulleyring/internal/script"
 )
 
-// TestEndsOfUntrackedRunsAreApplied runs the cases of testdata/ends.txt. It fails if the end of a run is ignored that
-// was presumed ended but whose worker was still alive. A box placed such a task elsewhere and acknowledged the
-// reported end without applying it, so that finished tasks ran again and failed runs did not count as attempts. It
-// also logged runs that it had placed itself as "nobody placed it here".
+// TestEndsOfUntrackedRunsAreApplied runs the cases of testdata/ends.txt. It fails if the end of a run that was
+// presumed ended is acknowledged without being applied: finished tasks ran again, and failed runs did not count as
+// attempts. The box also stopped runs that it had placed itself on a worker that was back, as "nobody placed it
+// here".
 func TestEndsOfUntrackedRunsAreApplied(t *testing.T) {
 	for _, c := range script.Cases(t, "testdata/ends.txt") {
 		p := &reportCase{h: keptShard(), workers: map[string]*workerState{}}
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -42,15 +42,15 @@
 // TestLearnFromProgress fails if the progress of a run does not update the estimate of its step, or if it does so for a
 // remote run, which is slower because of its location.
 func TestLearnFromProgress(t *testing.T) {
-	for _, far := range []bool{false, true} {
+	for _, remote := range []bool{false, true} {
 		h := &shard{}
 		a := request("a", 4*time.Second)
-		r := &run{job: &liveJob{Life: job.NewLife(a, nil)}, far: far}
+		r := &run{job: &liveJob{Life: job.NewLife(a, nil)}, far: remote}
 		r.progress, _ = progressOf(0, 0.05, 0.1, 0.15, 0.2) // 0.1 per second.
 		h.learnEarly(r)
 		h.learnEarly(r)
 		want := 10 * time.Second
-		if far {
+		if remote {
 			want = 4 * time.Second
 		}
 		quicktest.Check(t, h.learned.task(a, 0).Round(time.Millisecond), quicktest.Equals, want)
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -6,8 +6,8 @@
 	"github.com/pulleyring/pulleyring/internal/interval"
 )
 
-// maxFeedDelay is the longest time that a healthy store needs to answer a waiting feed call once there are a few
-// changes to report. It usually takes some 10 ms.
+// maxFeedDelay limits the time that a healthy store takes to answer a waiting feed call once there are a few changes
+// to report. It takes some 10 ms.
 const maxFeedDelay = 100 * time.Millisecond
 
 // maxAwaitedChanges is the largest number of records that may change at the same moment, such as those of a rack of
--- a/internal/scheduler/follow_test.go
+++ b/internal/scheduler/follow_test.go
@@ -53,9 +53,9 @@
 	})
 }
 
-// TestAgeOfChanges fails if the age of reported changes is computed wrongly. A departing worker announces its remaining
-// time, counted from when it wrote its record. When it was counted from when a box read the record, the last runs
-// ended in the last ms of the worker's process and their ends were not reported.
+// TestAgeOfChanges fails if the remaining time of a departing worker is counted from when a box read its record, not
+// from when the worker wrote it. The last runs then ended in the last ms of the worker's process, and their ends were
+// not reported.
 func TestAgeOfChanges(t *testing.T) {
 	const ms = time.Millisecond
 	begin := time.Now()
@@ -108,10 +108,9 @@
 	return l, nil
 }
 
-// TestLateAnswerHasOldChanges fails if a late answer to a call that did not wait counts as recent changes. An answer
-// that came 0.1 s after its call was taken for one that had waited. With 1,100 workers and a store that rejected some
-// boxes' calls, records that were 0.4 s old counted as just written. Workers were drained so late that the ends of 60
-// to 90 runs were not reported, and those waited 5 s for the leases to expire.
+// TestLateAnswerHasOldChanges fails if a late answer to a call that did not wait counts as recent changes. With 1,100
+// workers and a store that rejected some boxes' calls, records 0.4 s old counted as just written: workers were
+// drained so late that the ends of 60 to 90 runs were not reported and waited 5 s for the leases to expire.
 func TestLateAnswerHasOldChanges(t *testing.T) {
 	for _, late := range []time.Duration{0, 110 * time.Millisecond, 400 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/scheduler/halls.go
+++ b/internal/scheduler/halls.go
@@ -13,9 +13,9 @@
 const startReserve = time.Second
 
 // openHalls decides in which halls work may start. The list of emptied halls has an age: once an instruction that has
-// not been read yet could be in force, nothing may start in any hall. Without that limit, work submitted after an 8 s
-// outage of the store was started in a hall that had been emptied during the outage. The zero value closes every
-// hall.
+// not been read yet could be in force, nothing may start in any hall. Without that limit, work submitted as the store
+// returned from an 8 s outage was started in a hall that had been emptied during the outage. The zero value closes
+// every hall.
 type openHalls struct {
 	queue.Halls
 	Grace time.Duration // Time after a hall was emptied after which nothing may start there; 0 for no limit.
--- a/internal/scheduler/home_test.go
+++ b/internal/scheduler/home_test.go
@@ -12,10 +12,9 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// TestOtherIncarnationAtOtherAddressAfterTakeover fails if an answer from a different address ends the runs of a
-// worker after a takeover. The record may hold another address than the one at which the predecessor reached the
-// worker, for example while another writer's record is in its place. A worker at that address answers as another
-// incarnation, which was taken as the end of all runs.
+// TestOtherIncarnationAtOtherAddressAfterTakeover fails if the runs of a worker are ended by the answer of another
+// incarnation at an address that the predecessor did not use. After a takeover the record may hold such an address,
+// for example while another writer's record is in its place.
 func TestOtherIncarnationAtOtherAddressAfterTakeover(t *testing.T) {
 	for _, c := range []struct {
 		name, before, recorded string
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -39,7 +39,7 @@
 	over time.Time // By then all runs on the worker have certainly ended, unless leases are renewed.
 }
 
-// extend records that leases may last until a given time.
+// extend records that runs may last until a given time. An earlier time than the recorded one has no effect.
 func (l *leases) extend(until time.Time) {
 	if until.After(l.over) {
 		l.over = until
@@ -52,7 +52,8 @@
 // endsWithin returns how long after its lease has expired, by its own clock, a worker has certainly ended all runs.
 func (b *Bounds) endsWithin() time.Duration { return b.StopTime + stopSlack }
 
-// longestLease returns when all runs have certainly ended whose leases were renewed until a given time, by any box.
+// longestLease returns the time by which all runs have certainly ended if their leases were last renewed, by any box,
+// at the given time.
 func (b *Bounds) longestLease(renewed time.Time) time.Time {
 	return renewed.Add(slowed(b.MaxLease) + b.endsWithin())
 }
@@ -94,8 +95,8 @@
 	}
 }
 
-// suspendedSince returns how long the machine has been suspended since the total was before. The monotonic clock does
-// not count that time.
+// suspendedSince returns how long the machine has been suspended since the total time suspended was the given one.
+// The clock does not count that time.
 func (h *shard) suspendedSince(before time.Duration) time.Duration {
 	return max(h.totalSuspended()-before, 0)
 }
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -101,8 +101,8 @@
 	if !refused && !certainlyNotSent(err) {
 		w.noteOpen(r, m.at)
 	}
-	surelyNot := try == 1 && (refused && refusal != fleet.Outdated || certainlyNotSent(err))
-	if surelyNot {
+	neverStarted := try == 1 && (refused && refusal != fleet.Outdated || certainlyNotSent(err))
+	if neverStarted {
 		r.ordered = time.Time{} // This run can't be the cause of a failure of the worker.
 		if r.lost != nil {
 			h.charge(h.losses.NeverRan(r.life, r.task))
@@ -117,7 +117,7 @@
 		r.stopKnown = time.Now()
 		w.signal()
 		return true
-	case surelyNot:
+	case neverStarted:
 		r.ordering = false
 		h.endUnstarted(w, r)
 		return true
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -224,7 +224,7 @@
 		h.adopt(j, o)
 	}
 	if p == nil {
-		h.Log.Info("scheduler: job seen", zap.String("job", string(r.ID)), zap.String("queue", r.Terms.Queue),
+		h.Log.Info("scheduler: tracking a new job", zap.String("job", string(r.ID)), zap.String("queue", r.Terms.Queue),
 			zap.Int("tasks", len(j.Progress.Tasks)), zap.Int("steps", len(r.Steps)))
 	}
 	h.signal()
--- a/internal/scheduler/slept_test.go
+++ b/internal/scheduler/slept_test.go
@@ -9,9 +9,8 @@
 )
 
 // TestSuspensionDoesNotExtendRenewals fails if a box that was suspended renews leases for longer than its successor
-// expects. The clock does not count the time suspended, so after waking, the box took its last commit for recent and
-// renewed the leases of a worker that its successor could not reach. Its runs continued while they were started
-// elsewhere.
+// expects. Its clock does not count the suspension: it took its last commit for recent and renewed the leases of a
+// worker that the successor could not reach, while the runs there were also started elsewhere.
 func TestSuspensionDoesNotExtendRenewals(t *testing.T) {
 	for _, suspended := range []time.Duration{0, time.Second, 5 * time.Second, 7900 * time.Millisecond, 8 * time.Second, 20 * time.Second, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
