--- a/internal/scheduler/held_test.go
+++ b/internal/scheduler/held_test.go
@@ -135,7 +135,7 @@
 		}
 	}
 	if len(view.Workers) != len(h.workers) || len(view.Holdings) != len(want) {
-		r.Fatalf("%d workers and %d holdings, want %d and %d", len(view.Workers), len(view.Holdings), len(h.workers), len(want))
+		r.Fatalf("%d workers and %d allocations, want %d and %d", len(view.Workers), len(view.Holdings), len(h.workers), len(want))
 	}
 	for i := range view.Holdings {
 		compareAllocation(r, h, view, i, want)
@@ -156,7 +156,7 @@
 	first := h.holdings.list[i].runs[0]
 	expected := want[allocationKey(got.Job, got.Group, first.task.Index, first.job)]
 	if expected == nil {
-		r.Fatalf("nothing holds %+v", got)
+		r.Fatalf("no runs for allocation %+v", got)
 	}
 	var on []string
 	for _, seat := range got.Places {
@@ -164,7 +164,7 @@
 	}
 	slices.Sort(on)
 	if !slices.Equal(on, expected.workers) || expected.stopping && !got.Stopping {
-		r.Fatalf("%+v on %v, want %+v", got, on, expected)
+		r.Fatalf("allocation %+v on workers %v, want %+v", got, on, expected)
 	}
 	ends, knownUntil := time.Time{}, time.Time{}
 	for n, x := range h.holdings.list[i].runs {
@@ -178,6 +178,6 @@
 	}
 	// If the end is not known, it follows from the estimates at the allocation's last event, and is not compared.
 	if got.Known != !view.Now.After(knownUntil) || got.Known && got.Remaining != max(ends.Sub(view.Now), 0) {
-		r.Fatalf("%+v, want %v known until %v", got, ends, knownUntil)
+		r.Fatalf("allocation %+v, want end %v known until %v", got, ends, knownUntil)
 	}
 }
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -67,11 +67,11 @@
 			stopped := worker.leaseEnd.Add(bounds.StopTime)
 			// The slack is for busy machines, not for slow clocks.
 			if late := stopped.Add(stopSlack).Sub(w.leases.over); late > 0 {
-				r.Fatalf("all ends %v after it was counted as over", late)
+				r.Fatalf("runs end %v after they were presumed ended", late)
 			}
 			// No commit came after the last one; a successor saw that just then at the earliest.
 			if late := stopped.Sub(bounds.longestLease(h.held.Add(renewedFor))); late > 0 {
-				r.Fatalf("all ends %v after a successor counted it as over", late)
+				r.Fatalf("runs end %v after a successor presumed them ended", late)
 			}
 		}
 	})
