--- a/internal/scheduler/held_test.go
+++ b/internal/scheduler/held_test.go
@@ -16,9 +16,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestUpdatedViewEqualsRebuiltView fails if the view that is updated with each event differs from one that is built
+// TestKeptViewEqualsOneCollectedAnew fails if the view that is updated with each event differs from one that is built
 // from scratch, after random events of jobs, runs and workers.
-func TestUpdatedViewEqualsRebuiltView(t *testing.T) {
+func TestKeptViewEqualsOneCollectedAnew(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := keptShard()
 		for n := range rapid.IntRange(1, 40).Draw(r, "events") {
