--- a/internal/scheduler/follow_test.go
+++ b/internal/scheduler/follow_test.go
@@ -12,7 +12,8 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// fullDirectory has so many full answers before the last one, which comes after the others were taken in.
+// fullDirectory returns a number of full answers and then others that are not full. It calls done when asked again
+// after the first of those.
 type fullDirectory struct {
 	full  int
 	asked []time.Time
@@ -31,19 +32,20 @@
 	return Listing{Workers: []fleet.Worker{{ID: "w"}}, More: len(d.asked) <= d.full}, nil
 }
 
-// TestFullAnswersAreFollowedAtOnce: while the answers about workers are full, news of them waits at the store.
-func TestFullAnswersAreFollowedAtOnce(t *testing.T) {
+// TestNoPauseAfterFullAnswer fails if the scheduler pauses after a full answer about workers, while further
+// changes wait at the store.
+func TestNoPauseAfterFullAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, done := context.WithCancel(context.Background())
 		d := &fullDirectory{full: 3, done: done}
 		h := keptShard()
 		h.Directory, h.ctx = d, ctx
-		h.followWorkers(0, feedAge{})
+		h.watchDirectory(0, feedAge{})
 		h.ordering.Wait()
 		for i := 1; i < len(d.asked); i++ {
 			pause := time.Duration(0)
 			if i > d.full {
-				pause = workersPause
+				pause = workersPollDelay
 			}
 			quicktest.Check(t, d.asked[i].Sub(d.asked[i-1]), quicktest.Equals, pause)
 		}
@@ -51,9 +53,10 @@
 	})
 }
 
-// TestAgeOfNews: a worker that leaves tells how much time it has left, counted from when it wrote that. Counted from when a box read it, the last runs there
-// ended in the last ms of its process, with nobody to hear of it.
-func TestAgeOfNews(t *testing.T) {
+// TestAgeOfChanges fails if the remaining time of a departing worker is counted from when a box read its record, not
+// from when the worker wrote it. The last runs then ended in the last ms of the worker's process, and their ends were
+// not reported.
+func TestAgeOfChanges(t *testing.T) {
 	const ms = time.Millisecond
 	begin := time.Now()
 	at := func(d time.Duration) time.Time { return begin.Add(d) }
@@ -76,11 +79,12 @@
 		{"much news, long under way: it did not wait", 3910 * ms, 4100 * ms, 200, false, 3600 * ms},
 		{"after that", 4400 * ms, 4405 * ms, 1, false, 3910 * ms},
 	} {
-		quicktest.Check(t, age.took(at(c.began), at(c.came), c.news, c.more), quicktest.Equals, at(c.want), quicktest.Commentf(c.name))
+		quicktest.Check(t, age.record(at(c.began), at(c.came), c.news, c.more), quicktest.Equals, at(c.want), quicktest.Commentf(c.name))
 	}
 }
 
-// lateDirectory answers its calls after so long each, without having waited, with the news of many workers, and tells in the last answer that one of them, w, leaves.
+// lateDirectory answers each call after a given time, without having waited for a change, with the changes of many
+// workers. The last answer says that worker w is departing.
 type lateDirectory struct {
 	takes []time.Duration
 	asked []time.Time
@@ -98,24 +102,24 @@
 	time.Sleep(d.takes[len(d.asked)-1])
 	leaves := len(d.asked) == len(d.takes)
 	l := Listing{Workers: []fleet.Worker{{ID: "w", Draining: leaves, Leaves: 3 * time.Second}}}
-	for i := range fewNews {
+	for i := range maxAwaitedChanges {
 		l.Workers = append(l.Workers, fleet.Worker{ID: fmt.Sprint("v", i)})
 	}
 	return l, nil
 }
 
-// TestALateAnswerTellsOldNews: an answer that came 0.1 s after its call was taken for one that had waited for news, and its news for no older than that. With 1,100 workers, and a
-// store that turned some boxes away, it was a late answer to a call that had not waited: what workers had said 0.4 s before counted as said just then, and they were cleared so
-// late that the ends of 60 to 90 runs were not heard of, which then waited 5 s for the leases.
-func TestALateAnswerTellsOldNews(t *testing.T) {
+// TestLateAnswerHasOldChanges fails if a late answer to a call that did not wait counts as recent changes. With 1,100
+// workers and a store that rejected some boxes' calls, records 0.4 s old counted as just written: workers were
+// drained so late that the ends of 60 to 90 runs were not reported and waited 5 s for the leases to expire.
+func TestLateAnswerHasOldChanges(t *testing.T) {
 	for _, late := range []time.Duration{0, 110 * time.Millisecond, 400 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			h, w := silentShard()
-			w.clock = 0 // Nobody looks there.
+			w.clock = 0 // No poll is sent.
 			d := &lateDirectory{takes: []time.Duration{0, late}}
 			h.Directory, h.ctx = d, ctx
-			h.ordering.Go(func() { h.followWorkers(0, feedAge{}) })
+			h.ordering.Go(func() { h.watchDirectory(0, feedAge{}) })
 			time.Sleep(5 * time.Second)
 			cancel()
 			h.ordering.Wait()
--- a/internal/scheduler/halls.go
+++ b/internal/scheduler/halls.go
@@ -8,68 +8,69 @@
 	"go.uber.org/zap"
 )
 
-// orderReserve is left of the time after which nothing more may start in an emptied hall: an order that is on its way is given up
-// after 0.7 s.
-const orderReserve = time.Second
+// startReserve is the safety margin before the time after which nothing may start in an emptied hall. A command under
+// way is given up after 0.7 s.
+const startReserve = time.Second
 
-// openHalls tells where work may start. What is known of emptied halls has an age: once an instruction that nobody has read yet
-// could be in force, nothing may start anywhere. Without that bound work that came as the store was back
-// after 8 s without it began in a hall that was emptied meanwhile. The zero value closes every hall.
+// openHalls decides in which halls work may start. The list of emptied halls has an age: once an instruction that has
+// not been read yet could be in force, nothing may start in any hall. Without that limit, work submitted as the store
+// returned from an 8 s outage was started in a hall that had been emptied during the outage. The zero value closes
+// every hall.
 type openHalls struct {
 	queue.Halls
-	Within time.Duration // After a hall was emptied nothing may start there; 0 for no bound.
+	Grace time.Duration // Time after a hall was emptied after which nothing may start there; 0 for no limit.
 }
 
-// known reports whether nothing that must be heeded by now can be missing.
-func (o *openHalls) known(now time.Time) bool {
+// isKnown reports whether the list is recent enough that no instruction in force can be missing.
+func (o *openHalls) isKnown(now time.Time) bool {
 	if o.AsOf.IsZero() {
 		return false
 	}
-	return o.Within == 0 || now.Sub(o.AsOf) <= o.Within-orderReserve
+	return o.Grace == 0 || now.Sub(o.AsOf) <= o.Grace-startReserve
 }
 
-// open reports whether work may start in a hall.
-func (o *openHalls) open(hall string, now time.Time) bool {
-	return o.known(now) && !o.IsEmptied(hall)
+// isOpen reports whether work may start in a hall.
+func (o *openHalls) isOpen(hall string, now time.Time) bool {
+	return o.isKnown(now) && !o.IsEmptied(hall)
 }
 
-// seenHalls is what the last decision knew of emptied halls.
-type seenHalls struct {
+// knownHalls holds what the last decision knew about emptied halls.
+type knownHalls struct {
 	emptied []string
-	unknown bool // It was too old.
+	unknown bool // The list was too old.
 }
 
-// openHalls is what is known now.
+// openHalls returns the halls that are open now.
 func (h *shard) openHalls() openHalls {
 	if h.Halls == nil {
-		return openHalls{Halls: queue.Halls{AsOf: time.Now()}} // A scheduler without an operator.
+		return openHalls{Halls: queue.Halls{AsOf: time.Now()}} // Without an operator no hall is ever emptied.
 	}
 	return openHalls{h.Halls(), h.Bounds.Emptied}
 }
 
-// takeHalls takes in where work may start as of a decision. Room that was claimed in a hall that is emptied now is given up, so
-// that other room is looked for at once and not when the claim lapses, up to 8 s later.
-func (h *shard) takeHalls(now time.Time) openHalls {
+// updateHalls returns the halls that are open at a decision. It drops reservations in halls that are now emptied, so
+// that other capacity is sought at once and not when the reservation expires, up to 8 s later.
+func (h *shard) updateHalls(now time.Time) openHalls {
 	halls := h.openHalls()
-	if known := halls.known(now); known == h.halls.unknown {
-		h.halls.unknown = !known
-		h.Log.Warn("scheduler: whether emptied halls are known", zap.Bool("known", known), zap.Time("as_of", halls.AsOf))
+	if known := halls.isKnown(now); known == h.lastHalls.unknown {
+		h.lastHalls.unknown = !known
+		h.Log.Warn("scheduler: state of emptied halls became known or unknown; nothing starts while it is unknown", zap.Bool("known", known), zap.Time("as_of", halls.AsOf))
 	}
-	if slices.Equal(halls.Emptied, h.halls.emptied) {
+	if slices.Equal(halls.Emptied, h.lastHalls.emptied) {
 		return halls
 	}
-	h.halls.emptied = halls.Emptied
-	clear(h.noPlan)
-	for key, c := range h.claims {
-		if h.claimsIn(&c, &halls) {
-			delete(h.claims, key)
+	h.lastHalls.emptied = halls.Emptied
+	clear(h.noPlanUntil)
+	for key, c := range h.reservations {
+		if h.reservesIn(&c, &halls) {
+			delete(h.reservations, key)
 		}
 	}
 	return halls
 }
 
-// claimsIn reports whether claimed room is in an emptied hall.
-func (h *shard) claimsIn(c *claimed, halls *openHalls) bool {
+// reservesIn reports whether a reservation includes a worker in an emptied hall.
+func (h *shard) reservesIn(c *reservation, halls *openHalls) bool {
 	for _, worker := range c.workers {
 		if w := h.workers[worker]; w != nil && halls.IsEmptied(w.Hall) {
 			return true
@@ -78,14 +79,14 @@
 	return false
 }
 
-// withdraw takes a placement back whose start may not be sent any more: nothing of it ran if no try was sent before, and
-// otherwise it is stopped. A gang begins anew as a whole.
+// withdraw takes back a placement whose start must not be sent any more. If no try was sent before, the run never
+// began; otherwise it is stopped. A gang starts again as a whole.
 func (h *shard) withdraw(w *workerState, r *run, try int, why string) {
 	h.Log.Info("scheduler: start withdrawn", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(r.life),
 		zap.String("hall", w.Hall), zap.Int("try", try), zap.String("why", why))
 	r.ordering = false
 	if try == 1 {
-		h.refused(w, r)
+		h.endUnstarted(w, r)
 		return
 	}
 	r.gaveUp = time.Now()
--- a/internal/scheduler/home_test.go
+++ b/internal/scheduler/home_test.go
@@ -12,9 +12,10 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// TestAnotherLifeElsewhereAfterATakeover: a box takes over while a worker's record tells another address than the one at which its predecessor reached it, as another writer's record does
-// until the worker's next one. Another worker there answers that it is another life; that was taken for the end of all that ran on the first.
-func TestAnotherLifeElsewhereAfterATakeover(t *testing.T) {
+// TestOtherIncarnationAtOtherAddressAfterTakeover fails if the runs of a worker are ended by the answer of another
+// incarnation at an address that the predecessor did not use. After a takeover the record may hold such an address,
+// for example while another writer's record is in its place.
+func TestOtherIncarnationAtOtherAddressAfterTakeover(t *testing.T) {
 	for _, c := range []struct {
 		name, before, recorded string
 		ended                  bool
@@ -26,7 +27,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			h := keptShard()
 			ended, cancel := context.WithCancel(context.Background())
-			cancel() // Nobody looks there.
+			cancel() // No poll is sent.
 			h.ctx = ended
 			h.addresses.begin(ledger.Addresses{life.ID{Worker: "w"}: c.before})
 			h.addJob(&job.Request{ID: "j", Steps: []job.Step{{Count: 1}}}, &job.Progress{
--- a/internal/scheduler/patience.go
+++ b/internal/scheduler/patience.go
@@ -3,45 +3,46 @@
 import "time"
 
 const (
-	// quietGaps is how many times the usual time between two changes a feed may tell of nothing before the rows are read: at
-	// random, a gap of 8 times the mean comes once in 3,000.
-	quietGaps = 8
-	// quietLeast and quietMost bound that. A feed can be deaf for a second and more, and then end without a word; reading all
-	// rows costs nine calls and more.
-	quietLeast = 200 * time.Millisecond
-	quietMost  = 700 * time.Millisecond
-	// gapWeight is the weight of the newest gap.
+	// maxQuietGaps is how many times the mean gap between two changes a feed may be quiet before the rows are read. For
+	// random arrivals, a gap of 8 times the mean occurs once in 3,000.
+	maxQuietGaps = 8
+	// minQuietTime and maxQuietTime limit the time that a feed may be quiet. A feed can miss changes for a second or
+	// more and then end without an error; reading all rows costs at least nine calls to the store.
+	minQuietTime = 200 * time.Millisecond
+	maxQuietTime = 700 * time.Millisecond
+	// gapWeight is the weight of the newest gap in the mean gap.
 	gapWeight = 0.1
 )
 
-// patience is how long a feed may be quiet, by how often it has told of changes. At 25 jobs a second and a feed that was deaf for
-// a second, 58 jobs were seen up to 1.6 s late with quietMost alone. The zero value has that patience.
-type patience struct {
-	gap    time.Duration // Between two changes, smoothed; 0 before the first.
-	silent int           // Waits in a row without a change.
+// feedTimeout computes how long a feed may be quiet from how often it has reported changes. With a fixed limit of
+// maxQuietTime, 25 jobs a second and a feed that missed changes for a second, 58 jobs were noticed up to 1.6 s late.
+// The zero value allows maxQuietTime.
+type feedTimeout struct {
+	meanGap    time.Duration // Mean time between two changes, smoothed; 0 before the first change.
+	emptyWaits int           // Number of successive waits without a change.
 }
 
-// quiet is how long to wait for the next change.
-func (p *patience) quiet() time.Duration {
-	if p.gap == 0 {
-		return quietMost
+// next returns how long to wait for the next change.
+func (p *feedTimeout) next() time.Duration {
+	if p.meanGap == 0 {
+		return maxQuietTime
 	}
-	wait := max(quietGaps*p.gap, quietLeast)
-	for range p.silent {
-		wait = min(2*wait, quietMost)
+	wait := max(maxQuietGaps*p.meanGap, minQuietTime)
+	for range p.emptyWaits {
+		wait = min(2*wait, maxQuietTime)
 	}
-	return min(wait, quietMost)
+	return min(wait, maxQuietTime)
 }
 
-// told takes in that a feed told of changes after a wait.
-func (p *patience) told(changes int, after time.Duration) {
-	p.silent = 0
+// recordChanges records that a feed reported changes after a wait.
+func (p *feedTimeout) recordChanges(changes int, after time.Duration) {
+	p.emptyWaits = 0
 	gap := after / time.Duration(max(changes, 1))
-	if p.gap == 0 {
-		p.gap = gap
+	if p.meanGap == 0 {
+		p.meanGap = gap
 	}
-	p.gap += time.Duration(gapWeight * float64(gap-p.gap))
+	p.meanGap += time.Duration(gapWeight * float64(gap-p.meanGap))
 }
 
-// heardNothing takes in a wait without a change: the next one is longer, as there may be nothing to tell.
-func (p *patience) heardNothing() { p.silent++ }
+// recordNoChange records a wait without a change. The next wait is longer, as there may be no changes to report.
+func (p *feedTimeout) recordNoChange() { p.emptyWaits++ }
--- a/internal/scheduler/speed.go
+++ b/internal/scheduler/speed.go
@@ -6,46 +6,49 @@
 )
 
 const (
-	// speedWeight is the weight of the newest run in what is known of a worker's speed.
+	// speedWeight is the weight of the newest run in the estimate of a worker's speed.
 	speedWeight = 0.2
-	// speedSamples is how many tasks of a step must have ended before one is compared with them.
-	speedSamples = 3
+	// minSpeedSamples is how many tasks of a step must have ended before another one is compared with them.
+	minSpeedSamples = 3
 )
 
-// stepTimes is how long the tasks of a step took so far.
+// stepTimes holds the run times of the tasks of a step that have ended.
 type stepTimes struct {
-	count int
-	sum   float64 // Of the logarithms of seconds.
+	count  int     // Number of ended tasks.
+	logSum float64 // Sum of the natural logarithms of their run times in seconds.
 }
 
-// overdue is how many times longer than the other tasks of their step took the runs on a worker have been under way, so
-// that a worker that turns slow or stands still is known before anything ends there.
+// overdue returns the largest factor, at least 1, by which a run on a worker exceeds the mean run time of its step
+// or, for a task that is not in a gang, falls behind its own best rate. It detects a worker that has become slow or
+// has stalled before anything ends there.
 func (h *shard) overdue(w *workerState, now time.Time) float64 {
 	most := 1.0
 	for _, r := range w.runs {
 		if !r.job.Request.Steps[r.task.Step].Gang {
-			most = max(most, r.progress.slowed())
+			most = max(most, r.progress.slowdown())
 		}
 		t := h.stepTimes[r.stepKey()]
-		if t == nil || t.count < speedSamples || r.saved != "" || r.confirmed.IsZero() {
+		if t == nil || t.count < minSpeedSamples || r.saved != "" || r.confirmed.IsZero() {
 			continue
 		}
-		most = max(most, now.Sub(r.placed).Seconds()/math.Exp(t.sum/float64(t.count)))
+		most = max(most, now.Sub(r.placed).Seconds()/math.Exp(t.logSum/float64(t.count)))
 	}
 	return most
 }
 
-// stepKey names a run's step, over all occurrences.
-func (r *run) stepKey() claimKey { return stepOf(r.task.Job, r.task.Step) }
+// stepKey returns the key of a run's step. It is the same for all occurrences.
+func (r *run) stepKey() groupKey { return stepOf(r.task.Job, r.task.Step) }
 
-// slowness is how many times longer than elsewhere work takes on a worker; the zero value is a sound one.
+// slowness holds how many times longer work takes on a worker than on others. The zero value is a worker of normal
+// speed.
 type slowness struct {
-	log float64
+	logFactor float64 // Natural logarithm of the factor.
 }
 
-func (s slowness) factor() float64 { return math.Exp(s.log) }
+func (s slowness) factor() float64 { return math.Exp(s.logFactor) }
 
-// learnSpeed compares a run that ended well with the other tasks of its step, which are alike.
+// learnSpeed updates a worker's speed by comparing a successful run with the other tasks of its step, which do
+// similar work.
 func (h *shard) learnSpeed(w *workerState, r *run, took time.Duration) {
 	step := &r.job.Request.Steps[r.task.Step]
 	if step.Gang || r.saved != "" || r.adopted || took <= 0 {
@@ -57,9 +60,9 @@
 		h.stepTimes[r.stepKey()] = t
 	}
 	log := math.Log(took.Seconds())
-	if t.count >= speedSamples {
-		w.slow.log += speedWeight * (log - t.sum/float64(t.count) - w.slow.log)
+	if t.count >= minSpeedSamples {
+		w.slow.logFactor += speedWeight * (log - t.logSum/float64(t.count) - w.slow.logFactor)
 	}
 	t.count++
-	t.sum += log
+	t.logSum += log
 }
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -11,29 +11,29 @@
 	"github.com/pulleyring/pulleyring/internal/placement"
 )
 
-// takeView brings the view that decisions are made from up to date.
+// takeView updates the view from which decisions are made and returns it.
 func (h *shard) takeView(now time.Time) *placement.View {
 	v := &h.view
 	v.Now, v.Policy = now, h.Bounds.Policy
 	suspects := h.judgeLosses()
-	h.markCovered()
-	h.takeRoster()
+	h.markGuaranteed()
+	h.updateSortedWorkers()
 	v.Workers, v.Holdings, v.Demands = v.Workers[:0], v.Holdings[:0], v.Demands[:0]
-	halls := h.takeHalls(now)
+	halls := h.updateHalls(now)
 	outbreak := h.outbreak.active(now)
 	for _, w := range h.roster {
 		shown := w.view(now)
-		shown.Closed = !halls.open(w.Hall, now)
+		shown.Closed = !halls.isOpen(w.Hall, now)
 		shown.Usable = shown.Usable && !shown.Closed
 		shown.Begun = w.begun(now)
-		if suspects { // Looking through all runs for them takes half as long again as the rest of the view.
+		if suspects { // Only if needed: searching all runs for suspects takes half as long as the rest of the view.
 			shown.Suspect = w.suspect()
 		}
 		shown.Unproven = outbreak && !w.proven(h.outbreak.began, now)
 		v.Workers = append(v.Workers, shown)
 	}
 	for _, x := range h.holdings.list {
-		v.Holdings = append(v.Holdings, h.holdingView(x, now))
+		v.Holdings = append(v.Holdings, h.allocationView(x, now))
 	}
 	for _, j := range h.jobs {
 		for _, g := range j.Ready(now.UnixMilli()) {
@@ -48,19 +48,19 @@
 	return v
 }
 
-// takeRoster lists the workers by their names, and where everything runs, once a worker came or went.
-func (h *shard) takeRoster() {
+// updateSortedWorkers sorts the workers by name and renumbers them, once a worker was added or removed.
+func (h *shard) updateSortedWorkers() {
 	if h.roster != nil {
 		return
 	}
 	h.roster = slices.SortedFunc(maps.Values(h.workers), func(x, y *workerState) int { return cmp.Compare(x.ID, y.ID) })
-	for seat, w := range h.roster {
-		w.seat = seat
+	for index, w := range h.roster {
+		w.seat = index
 	}
-	h.holdings.reseat()
+	h.holdings.updateWorkerIndexes()
 }
 
-// view is a worker as decisions see it.
+// view returns the worker as decisions see it.
 func (w *workerState) view(now time.Time) placement.Worker {
 	slowness := max(w.slow.factor(), w.overdue)
 	if w.lags(now) {
@@ -72,41 +72,42 @@
 	}
 }
 
-// Weights of queues by priority, and the part that late work earns: the configuration does not tell what a job earns, the
-// users' sheets give 4, 3 and 1 for priorities 0, 1 and 2 and about 0.3 of it when late.
+// priorityValue holds the value of a job by its priority. The configuration has no values; the users' value sheets
+// give 4, 3 and 1 for priorities 0, 1 and 2, and about 0.3 of that (lateShare) for late work.
 var priorityValue = [...]float64{4, 3, 1}
 
 const (
 	lateShare = 0.3
-	// baseShare of a job's value does not depend on its size, and a large job counts sizeCap times the mean at most
-	// (the users' rules).
+	// baseShare is the part of a job's value that does not depend on its size. The size counts at most sizeCap times
+	// the mean. Both are rules of the users.
 	baseShare = 0.3
 	sizeCap   = 4
-	// lateFactor times its objective a job still earns a part.
+	// lateFactor is how many times its allowed time a job may take and still earn a part of its value.
 	lateFactor = 3
 )
 
+// demand returns the demand of a waiting group of tasks.
 func (h *shard) demand(j *liveJob, g job.Group, now time.Time) placement.Demand {
-	since, ok := j.since[g]
+	since, ok := j.readySince[g]
 	if !ok {
 		since = now
-		j.since[g] = now
+		j.readySince[g] = now
 	}
 	r := j.Request
 	d := placement.Demand{
 		Job: r.ID, Group: g, Workspace: r.Terms.Workspace, Service: r.Terms.Service, Priority: r.Terms.Priority,
-		Step: &r.Steps[g.Step], Since: since, Remaining: h.learned.chain(r, g.Step), Covered: j.covered,
-		Avoid: j.avoid[g], Apart: j.apart, Work: h.workLeft(j, g),
+		Step: &r.Steps[g.Step], Since: since, Remaining: h.learned.chainTime(r, g.Step), Covered: j.guaranteed,
+		Avoid: j.avoid[g], Apart: j.apart, Work: h.remainingWork(j, g),
 	}
 	if d.Step.MostPerWorker > 0 {
 		d.Placed = map[string]int{}
 	}
 	tasks := j.Tasks(g)
-	held := 0
+	heldTasks := 0
 	for i := range tasks {
 		switch {
 		case tasks[i].State == job.Waiting && h.isHeld(j, j.Name(g, i)):
-			held++
+			heldTasks++
 		case tasks[i].State == job.Waiting:
 			d.Waiting = append(d.Waiting, i)
 			lost := j.LossesOf(j.Name(g, i))
@@ -121,35 +122,35 @@
 			d.Placed[tasks[i].Worker.Worker]++
 		}
 	}
-	if held > 0 && d.Step.Gang {
-		d.Waiting = nil // It starts whole.
+	if heldTasks > 0 && d.Step.Gang {
+		d.Waiting = nil // A gang starts only as a whole.
 	}
 	allowed := h.allowed(r)
 	from := time.UnixMilli(r.Due(g.Occurrence))
 	d.Goal, d.LastGoal = from.Add(allowed), from.Add(lateFactor*allowed)
 	d.Value = h.value(r)
 	d.LateValue = lateShare * d.Value
-	d.NoPlan = now.Before(h.noPlan[claimKey{r.ID, g}])
-	if c, ok := h.claims[claimKey{r.ID, g}]; ok && now.Before(c.until) {
-		d.Claim, d.Draining = c.workers, c.draining
+	d.NoPlan = now.Before(h.noPlanUntil[groupKey{r.ID, g}])
+	if c, ok := h.reservations[groupKey{r.ID, g}]; ok && now.Before(c.until) {
+		d.Claim, d.Draining = c.workers, c.withoutPreemption
 	}
 	return d
 }
 
-// allowed is the time from an occurrence's due time within which it earns all it can.
+// allowed returns the time after its due time within which an occurrence earns its full value.
 func (h *shard) allowed(r *job.Request) time.Duration {
-	return time.Duration(r.Terms.Stretch*float64(h.learned.whole(r))) + r.Terms.Objective
+	return time.Duration(r.Terms.Stretch*float64(h.learned.jobTime(r))) + r.Terms.Objective
 }
 
-// value is what one occurrence of a job earns at most, in the weights above.
+// value returns the most that one occurrence of a job can earn, in units of priorityValue.
 func (h *shard) value(r *job.Request) float64 {
 	weight := priorityValue[min(max(r.Terms.Priority, 0), len(priorityValue)-1)]
-	mean := max(h.learned.of(r.Terms.Queue).work.value, 1)
+	mean := max(h.learned.ofQueue(r.Terms.Queue).meanWork.value, 1)
 	return weight * (baseShare + (1-baseShare)*min(declaredWork(r)/mean, sizeCap)) / float64(r.Occurrences())
 }
 
-// workLeft is the expected core-seconds until an occurrence has ended.
-func (h *shard) workLeft(j *liveJob, g job.Group) float64 {
+// remainingWork returns the expected core-seconds of the tasks of an occurrence that still wait.
+func (h *shard) remainingWork(j *liveJob, g job.Group) float64 {
 	sum := 0.0
 	for s := range j.Request.Steps {
 		step := &j.Request.Steps[s]
@@ -164,8 +165,8 @@
 	return sum
 }
 
-// markCovered marks the jobs of priority 0 that are within their workspace's guarantee: the oldest first, as far as it goes.
-func (h *shard) markCovered() {
+// markGuaranteed marks the jobs of priority 0 that fit in their workspace's guarantee, the oldest jobs first.
+func (h *shard) markGuaranteed() {
 	left := map[string]int64{}
 	if c := h.Configuration(); c != nil {
 		for i := range c.Workspaces {
@@ -174,7 +175,7 @@
 	}
 	var urgent []*liveJob
 	for _, j := range h.jobs {
-		j.covered = false
+		j.guaranteed = false
 		if j.Request.Terms.Priority == 0 && !j.Progress.State.Final() {
 			urgent = append(urgent, j)
 		}
@@ -183,16 +184,16 @@
 		return cmp.Or(cmp.Compare(x.Request.Accepted, y.Request.Accepted), cmp.Compare(x.Request.ID, y.Request.ID))
 	})
 	for _, j := range urgent {
-		need := accelerators(j.Request)
+		need := peakAccelerators(j.Request)
 		if need <= left[j.Request.Terms.Workspace] {
 			left[j.Request.Terms.Workspace] -= need
-			j.covered = true
+			j.guaranteed = true
 		}
 	}
 }
 
-// accelerators is what a job takes at once at most, its steps taken as running together.
-func accelerators(r *job.Request) int64 {
+// peakAccelerators returns the largest number of accelerators that a job can use at once if all its steps run together.
+func peakAccelerators(r *job.Request) int64 {
 	sum := int64(0)
 	for i := range r.Steps {
 		sum += int64(r.Steps[i].Count) * r.Steps[i].Each.Accelerators
--- a/internal/scheduler/why.go
+++ b/internal/scheduler/why.go
@@ -10,9 +10,10 @@
 	"github.com/pulleyring/pulleyring/internal/placement"
 )
 
-// Why tells, in words, what a job's tasks wait for as of the last decision; false where this box does not schedule or has no such job.
+// Why returns the reasons, as of the last decision, why a job's tasks wait. It returns false if this box does not
+// schedule or does not know the job.
 func (s *Scheduler) Why(id job.ID) ([]string, bool) {
-	h := s.live.Load()
+	h := s.current.Load()
 	if h == nil {
 		return nil, false
 	}
@@ -25,13 +26,13 @@
 	lines := h.whyHeld(j)
 	for i := range h.view.Demands {
 		if d := &h.view.Demands[i]; d.Job == id && j.isWaiting(d) {
-			lines = append(lines, whyWaits(&h.view, i))
+			lines = append(lines, explainWait(&h.view, i))
 		}
 	}
 	return lines, true
 }
 
-// isWaiting reports whether a task that waited at the last decision still does.
+// isWaiting reports whether any task that waited at the last decision still waits.
 func (j *liveJob) isWaiting(d *placement.Demand) bool {
 	tasks := j.Tasks(d.Group)
 	for _, i := range d.Waiting {
@@ -42,9 +43,10 @@
 	return false
 }
 
-// whyHeld tells which tasks are not started because a run of theirs is being stopped, or because workers fell silent under them.
+// whyHeld returns a line for each task that is not started because an orphaned run of it is being stopped, or because
+// workers that ran it became silent.
 func (h *shard) whyHeld(j *liveJob) []string {
-	lines := h.whyStray(j)
+	lines := h.explainOrphans(j)
 	for i, counted := range j.Progress.Losses {
 		t := j.TaskAt(i)
 		if p, ok := j.Task(t); !ok || p.State != job.Waiting || j.Progress.State.Final() {
@@ -59,8 +61,9 @@
 	return lines
 }
 
-// whyStray tells which tasks are not started because a run that is not followed goes on, or may yet begin, and where.
-func (h *shard) whyStray(j *liveJob) []string {
+// explainOrphans returns a line for each orphaned run that still runs, or may yet begin, and keeps its task from being
+// started.
+func (h *shard) explainOrphans(j *liveJob) []string {
 	var lines []string
 	for t := range j.strays {
 		for _, w := range h.workers {
@@ -74,7 +77,8 @@
 	return lines
 }
 
-func whyWaits(v *placement.View, i int) string {
+// explainWait returns a line that explains why a demand of a view waits.
+func explainWait(v *placement.View, i int) string {
 	d, w := &v.Demands[i], placement.Explain(v, i)
 	text := fmt.Sprintf("step %d waits for room for %d tasks since %s: %d workers are suitable, there is room for %d now", d.Group.Step, w.Need,
 		v.Now.Sub(d.Since).Round(time.Millisecond), w.Suitable, w.Now)
