--- a/internal/scheduler/addresses.go
+++ b/internal/scheduler/addresses.go
@@ -10,8 +10,8 @@
 // successor can poll a worker whose record is gone. It then need not wait until the worker's leases expire if
 // that one, or another incarnation of it, answers. The zero value has none.
 type addresses struct {
-	before ledger.Addresses // As the predecessor wrote them.
-	stale  map[int]bool     // Rows that have to be written.
+	previous ledger.Addresses // As the predecessor wrote them.
+	stale    map[int]bool     // Rows that have to be written.
 	// Some did not fit into the last batch; the next one does not wait for a heartbeat.
 	left bool
 }
@@ -19,7 +19,7 @@
 // begin takes over the predecessor's addresses. All rows are written again, as some of the incarnations in them
 // may have ended.
 func (a *addresses) begin(before ledger.Addresses) {
-	a.before = before
+	a.previous = before
 	for row := range ledger.AddressRows {
 		a.touch(row)
 	}
@@ -32,8 +32,8 @@
 	a.stale[row] = true
 }
 
-// changed records that a worker was added, removed or reached elsewhere.
-func (a *addresses) changed(worker string) { a.touch(ledger.AddressRow(worker)) }
+// markChanged records that a worker was added, removed or reached elsewhere.
+func (a *addresses) markChanged(worker string) { a.touch(ledger.AddressRow(worker)) }
 
 // collectAddresses adds rows that have to be written to a batch, up to its limit. Changed rows alone trigger no
 // batch; rows that did not fit into the last one do.
--- a/internal/scheduler/answers.go
+++ b/internal/scheduler/answers.go
@@ -12,15 +12,15 @@
 	slowest time.Duration // Slowest recent answer; each answer halves the previous value.
 }
 
-// answered records the duration of an answer.
-func (a *answerTimes) answered(took time.Duration) { a.slowest = max(took, a.slowest/2) }
+// recordAnswer records the duration of an answer.
+func (a *answerTimes) recordAnswer(took time.Duration) { a.slowest = max(took, a.slowest/2) }
 
-// missed records that no answer came in time.
-func (a *answerTimes) missed() { a.slowest = min(2*a.slowest, answerTimeout) }
+// recordMissed records that no answer came in time.
+func (a *answerTimes) recordMissed() { a.slowest = min(2*a.slowest, answerTimeout) }
 
-// within returns the timeout of an answer, which is at least the given one, or answerTimeout before the first
+// timeout returns the timeout of an answer, which is at least the given one, or answerTimeout before the first
 // answer.
-func (a *answerTimes) within(least time.Duration) time.Duration {
+func (a *answerTimes) timeout(least time.Duration) time.Duration {
 	if a.slowest == 0 {
 		return answerTimeout
 	}
@@ -31,35 +31,35 @@
 func (h *shard) startTimeout(w *workerState, try int) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return max(h.answers.within(startTimeouts[try-1]), w.slowBound())
+	return max(h.answers.timeout(startTimeouts[try-1]), w.slowTimeout())
 }
 
-// patientTimeout limits the timeout of a worker that answers slowly, or that is silent and may be slow. Without
+// slowAnswerTimeout limits the timeout of a worker that answers slowly, or that is silent and may be slow. Without
 // the longer timeout a worker on a busy machine, whose answers all took 0.9 s, was never seen, and its work ran
 // again when its lease had expired.
-const patientTimeout = 2500 * time.Millisecond
+const slowAnswerTimeout = 2500 * time.Millisecond
 
-// slowBound returns the timeout for a worker that answers slowly. It is about 0 for a quick one.
-func (c *contact) slowBound() time.Duration { return min(2*c.answerTime, patientTimeout) }
+// slowTimeout returns the timeout for a worker that answers slowly. It is about 0 for a quick one.
+func (c *contact) slowTimeout() time.Duration { return min(2*c.answerDelay, slowAnswerTimeout) }
 
 // answerBound returns the timeout of an answer, beyond the command's own wait.
-func (c *contact) answerBound() time.Duration { return max(answerTimeout, c.slowBound()) }
+func (c *contact) answerBound() time.Duration { return max(answerTimeout, c.slowTimeout()) }
 
-// lookPatiently polls a silent worker with a long timeout, as it may only be slow. The regular polls find
+// pollPatiently polls a silent worker with a long timeout, as it may only be slow. The regular polls find
 // quickly that it is back. Only one such poll is in flight at a time.
-func (h *shard) lookPatiently(w *workerState) {
+func (h *shard) pollPatiently(w *workerState) {
 	h.mu.Lock()
-	begin := w.failures > 0 && !w.patient
-	w.patient = w.patient || begin
+	begin := w.failures > 0 && !w.patientPoll
+	w.patientPoll = w.patientPoll || begin
 	h.mu.Unlock()
 	if !begin {
 		return
 	}
 	h.ordering.Go(func() {
-		h.lookOnce(w, patientTimeout)
+		h.pollOnce(w, slowAnswerTimeout)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		w.patient = false
+		w.patientPoll = false
 	})
 }
 
@@ -68,8 +68,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, refused := refusalOf(err); err == nil || refused {
-		h.answers.answered(took)
+		h.answers.recordAnswer(took)
 		return
 	}
-	h.answers.missed()
+	h.answers.recordMissed()
 }
--- a/internal/scheduler/blame.go
+++ b/internal/scheduler/blame.go
@@ -20,7 +20,7 @@
 		h.Log.Info("scheduler: losses of workers counted against a task have changed", zap.String("task", c.Task.String()), zap.Int("all", counted.All),
 			zap.Int("counted", counted.Counted), zap.Int("at_once", counted.AtOnce), zap.Int("change", c.Change.Counted),
 			zap.Stringer("why", c.Why), zap.Inline(c.Worker), zap.Duration("seen", c.Run.Seen), zap.Bool("adopted", c.Run.Adopted))
-		h.judge(j, c.Task)
+		h.assess(j, c.Task)
 	}
 }
 
@@ -33,22 +33,22 @@
 	h.touch(t.Job)
 	counted := j.LossesOf(t)
 	h.Log.Info("scheduler: start counted against a task like a lost worker", zap.String("task", t.String()), zap.Int("all", counted.All), zap.Int("counted", counted.Counted))
-	h.judge(j, t)
+	h.assess(j, t)
 }
 
-// judge assesses the losses of workers counted against a task, and fails its job if the task is crash-looping.
-func (h *shard) judge(j *liveJob, t job.Task) loss.Verdict {
+// assess assesses the losses of workers counted against a task, and fails its job if the task is crash-looping.
+func (h *shard) assess(j *liveJob, t job.Task) loss.Verdict {
 	counted := j.LossesOf(t)
 	verdict := h.losses.Weigh(t, counted, time.Now())
 	if verdict == loss.Guilty {
-		h.giveUp(j, t, counted)
+		h.failCrashLooping(j, t, counted)
 	}
 	return verdict
 }
 
-// giveUp fails a job of which one task crashes the workers that start it. All other tasks of the job are
+// failCrashLooping fails a job of which one task crashes the workers that start it. All other tasks of the job are
 // stopped at once.
-func (h *shard) giveUp(j *liveJob, t job.Task, counted job.Losses) {
+func (h *shard) failCrashLooping(j *liveJob, t job.Task, counted job.Losses) {
 	if !j.GiveUp(t, job.CrashesWorkers, counted.Counted, time.Now().UnixMilli()) {
 		return
 	}
@@ -81,7 +81,7 @@
 		}
 		some = true
 		for i := range j.Progress.Losses {
-			h.judge(j, j.TaskAt(i))
+			h.assess(j, j.TaskAt(i))
 		}
 	}
 	return some
@@ -126,7 +126,7 @@
 // than against what starts beside it.
 func (w *workerState) suspect() job.ID {
 	for t, r := range w.runs {
-		if len(r.job.Progress.Losses) == 0 || w.seen(r) > loss.CountedWithin {
+		if len(r.job.Progress.Losses) == 0 || w.answeredSince(r) > loss.CountedWithin {
 			continue
 		}
 		if lost := r.job.LossesOf(t); lost.AtOnce > 0 || lost.Counted >= loss.AloneAfter {
@@ -138,21 +138,21 @@
 
 // begun returns the job whose run was placed last on the worker, if that was a moment ago, or "" for none.
 func (w *workerState) begun(now time.Time) job.ID {
-	if now.Sub(w.begunAt) > loss.AtOnceWithin {
+	if now.Sub(w.lastPlacedAt) > loss.AtOnceWithin {
 		return ""
 	}
-	return w.begunBy
+	return w.lastPlacedJob
 }
 
-// clear takes back a task's immediate losses once a run of it lasts longer than one that crashes its worker at
+// clearImmediateLosses takes back a task's immediate losses once a run of it lasts longer than one that crashes its worker at
 // once.
-func (h *shard) clear(w *workerState, r *run) {
-	if len(r.job.Progress.Losses) == 0 || w.seen(r) < loss.ClearedAfter {
+func (h *shard) clearImmediateLosses(w *workerState, r *run) {
+	if len(r.job.Progress.Losses) == 0 || w.answeredSince(r) < loss.ClearedAfter {
 		return
 	}
 	if n := r.job.LossesOf(r.task).AtOnce; n > 0 && r.job.Charge(r.task, job.Losses{AtOnce: -n}) {
 		h.Log.Info("scheduler: task with immediate losses of workers runs well now; taking these losses back", zap.String("task", r.task.String()), zap.Int("at_once", n),
-			zap.Inline(w.life), zap.Duration("seen", w.seen(r)))
+			zap.Inline(w.life), zap.Duration("seen", w.answeredSince(r)))
 		h.touch(r.task.Job)
 	}
 }
--- a/internal/scheduler/doubt.go
+++ b/internal/scheduler/doubt.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	// doubtHalfLife is the time in which a worker's failure score halves.
-	doubtHalfLife = 4 * time.Second
-	// barredAt is the failure score from which a worker is quarantined and gets no new runs: more than one
+	// failureHalfLife is the time in which a worker's failure score halves.
+	failureHalfLife = 4 * time.Second
+	// quarantineScore is the failure score from which a worker is quarantined and gets no new runs: more than one
 	// failure in a half-life.
-	barredAt = 1.5
-	// againWeight is the score for the failure of a task that has failed elsewhere before; a first failure
+	quarantineScore = 1.5
+	// repeatedFailureWeight is the score for the failure of a task that has failed elsewhere before; a first failure
 	// scores 1.
-	againWeight = 0.3
-	// atOnceWeight is the score for a run that fails as soon as it has begun; its worker is quarantined for 8
+	repeatedFailureWeight = 0.3
+	// immediateFailureWeight is the score for a run that fails as soon as it has begun; its worker is quarantined for 8
 	// s. Tasks that cause their own failures fail after some work. On a day with 350 workers, 29 of which
 	// failed everything for 5.5 s, 171 of 324 failures came within 0.1 s of the placement, up to 15 on one
 	// worker.
-	atOnceWeight = 6
-	// atOnceShare and atOnceMost define a failure "as soon as it has begun": within this share of the task's
+	immediateFailureWeight = 6
+	// immediateFailureShare and immediateFailureMax define a failure "as soon as it has begun": within this share of the task's
 	// expected run time, and at most this long after its start.
-	atOnceShare = 0.1
-	atOnceMost  = 200 * time.Millisecond
+	immediateFailureShare = 0.1
+	immediateFailureMax   = 200 * time.Millisecond
 )
 
-// conduct is what the runs on a worker show of its health. The zero value is a healthy worker.
-type conduct struct {
-	doubt      doubt
-	slow       slowness
-	soundSince time.Time // Placement of the newest run that has not failed at once.
-	failedAt   time.Time // When a run last failed as soon as it had begun.
-	unhealthy  time.Time // No new runs are placed until then.
-	stalled    bool      // A task was stuck at the worker's last report.
-	laggedAt   time.Time // When a gang member last showed it to be slow.
+// workerHealth is what the runs on a worker show of its health. The zero value is a healthy worker.
+type workerHealth struct {
+	doubt              failureScore
+	slow               slowness
+	healthySince       time.Time // Placement of the newest run that has not failed at once.
+	immediateFailureAt time.Time // When a run last failed as soon as it had begun.
+	unhealthyUntil     time.Time // No new runs are placed until then.
+	stalled            bool      // A task was stuck at the worker's last report.
+	slowAt             time.Time // When a gang member last showed it to be slow.
 	// How many times longer than elsewhere its runs took, at its last report.
 	overdue float64
 }
 
-// doubt is a score of a worker's recent failures that decays over time. The zero value has none.
-type doubt struct {
+// failureScore is a score of a worker's recent failures that decays over time. The zero value has none.
+type failureScore struct {
 	value float64
 	at    time.Time
 }
 
-func (d *doubt) level(now time.Time) float64 {
+func (d *failureScore) level(now time.Time) float64 {
 	if d.value == 0 {
 		return 0
 	}
-	v := d.value * math.Exp2(-float64(now.Sub(d.at))/float64(doubtHalfLife))
+	v := d.value * math.Exp2(-float64(now.Sub(d.at))/float64(failureHalfLife))
 	if v < 0.05 {
 		return 0
 	}
 	return v
 }
 
-func (d *doubt) barred(now time.Time) bool { return d.level(now) >= barredAt }
+func (d *failureScore) barred(now time.Time) bool { return d.level(now) >= quarantineScore }
 
-func (d *doubt) add(weight float64, now time.Time) {
+func (d *failureScore) add(weight float64, now time.Time) {
 	d.value, d.at = d.level(now)+weight, now
 }
 
@@ -72,10 +72,10 @@
 	now := time.Now()
 	switch outcome {
 	case job.Succeeded:
-		if r.placed.After(w.failedAt) {
-			w.doubt = doubt{}
+		if r.placed.After(w.immediateFailureAt) {
+			w.doubt = failureScore{}
 		}
-		w.notFailed(r)
+		w.recordHealthyRun(r)
 		if r.saved == "" && !r.adopted {
 			if !r.learned && !r.far {
 				h.learned.ran(r.job.Request, r.task.Step, now.Sub(r.placed))
@@ -83,24 +83,24 @@
 			h.learnSpeed(w, r, now.Sub(r.placed))
 		}
 	case job.FailedRun:
-		w.doubt.add(h.blame(w, r, now), now)
+		w.doubt.add(h.failureWeight(w, r, now), now)
 	}
 }
 
-// blame returns how much a failed run adds to its worker's failure score.
-func (h *shard) blame(w *workerState, r *run, now time.Time) float64 {
+// failureWeight returns how much a failed run adds to its worker's failure score.
+func (h *shard) failureWeight(w *workerState, r *run, now time.Time) float64 {
 	begun := r.placed
 	if !r.confirmed.IsZero() {
 		begun = r.confirmed
 	}
-	atOnce := min(atOnceMost, time.Duration(atOnceShare*float64(h.learned.task(r.job.Request, r.task.Step))))
+	atOnce := min(immediateFailureMax, time.Duration(immediateFailureShare*float64(h.learned.task(r.job.Request, r.task.Step))))
 	switch {
 	case now.Sub(begun) < atOnce:
 		h.outbreak.failed(r.placed, now)
-		w.failedAt = now
-		return atOnceWeight
+		w.immediateFailureAt = now
+		return immediateFailureWeight
 	case len(r.job.avoid[r.group()]) > 0:
-		return againWeight // Failing elsewhere too, the task is the more likely cause.
+		return repeatedFailureWeight // Failing elsewhere too, the task is the more likely cause.
 	}
 	return 1
 }
--- a/internal/scheduler/doubt_test.go
+++ b/internal/scheduler/doubt_test.go
@@ -14,9 +14,9 @@
 	t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 }
 
-// TestFailureAtOnceBarsTheWorker fails if a worker is not quarantined after a run failed there as soon as it
+// TestImmediateFailureQuarantinesTheWorker fails if a worker is not quarantined after a run failed there as soon as it
 // had begun. Such a failure is rather the worker's fault than the job's.
-func TestFailureAtOnceBarsTheWorker(t *testing.T) {
+func TestImmediateFailureQuarantinesTheWorker(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		age      time.Duration // Age of the run when it failed.
--- a/internal/scheduler/forget.go
+++ b/internal/scheduler/forget.go
@@ -11,8 +11,8 @@
 	"github.com/pulleyring/pulleyring/internal/logsink"
 )
 
-// forgetEvery is the interval between searches for ended jobs that need not be shown any more.
-const forgetEvery = 5 * time.Second
+// forgetInterval is the interval between searches for ended jobs that need not be shown any more.
+const forgetInterval = 5 * time.Second
 
 // pastJobs is what is kept besides the tracked jobs.
 type pastJobs struct {
@@ -25,10 +25,10 @@
 // forgetLoop deletes the rows of old jobs: the requests first and the progress after them, so that a successor
 // never finds a request without its progress.
 func (h *shard) forgetLoop() {
-	for interval.Sleep(h.ctx, forgetEvery) {
+	for interval.Sleep(h.ctx, forgetInterval) {
 		h.mu.Lock()
-		maps.DeleteFunc(h.forgotten, func(_ job.ID, f forgotten) bool { return time.Since(f.at) > forgottenFor })
-		old := h.old()
+		maps.DeleteFunc(h.forgotten, func(_ job.ID, f forgotten) bool { return time.Since(f.at) > forgottenRetention })
+		old := h.oldJobs()
 		away := map[job.ID][]string{}
 		for _, id := range old {
 			away[id] = h.away[id]
@@ -57,8 +57,8 @@
 	at      time.Time
 }
 
-// forgottenFor is how long a deleted job is remembered. Reads end within 2 s.
-const forgottenFor = time.Minute
+// forgottenRetention is how long a deleted job is remembered. Reads end within 2 s.
+const forgottenRetention = time.Minute
 
 // forgottenAs returns the rows to delete of a job, or of a cancellation without a job.
 func (h *shard) forgottenAs(id job.ID) ledger.Forgotten {
@@ -83,8 +83,8 @@
 	delete(h.away, id)
 }
 
-// old returns some of the jobs, and cancellations without a job, that need not be shown any more.
-func (h *shard) old() []job.ID {
+// oldJobs returns some of the jobs, and cancellations without a job, that need not be shown any more.
+func (h *shard) oldJobs() []job.ID {
 	oldest := time.Now().Add(-h.Bounds.Retain)
 	var ids []job.ID
 	rows := 0
--- a/internal/scheduler/forget_test.go
+++ b/internal/scheduler/forget_test.go
@@ -67,15 +67,15 @@
 	ended := time.Now().Add(-time.Minute)
 	h.jobs["a"].Cancel(ended.UnixMilli())
 	h.touch("a")
-	quicktest.Check(t, h.old(), quicktest.HasLen, 0)
+	quicktest.Check(t, h.oldJobs(), quicktest.HasLen, 0)
 	f := h.prepare(false)
 	quicktest.Check(t, f.batch.Progress, quicktest.HasLen, 1)
-	quicktest.Check(t, h.old(), quicktest.HasLen, 0) // Its commit is in flight.
+	quicktest.Check(t, h.oldJobs(), quicktest.HasLen, 0) // Its commit is in flight.
 	h.restore(f)
-	quicktest.Check(t, h.old(), quicktest.HasLen, 0)
+	quicktest.Check(t, h.oldJobs(), quicktest.HasLen, 0)
 	f = h.prepare(false)
 	h.committed(f, time.Now(), 0)
-	quicktest.Check(t, h.old(), quicktest.DeepEquals, []job.ID{"a"})
+	quicktest.Check(t, h.oldJobs(), quicktest.DeepEquals, []job.ID{"a"})
 	h.touch("a") // While its request is being deleted.
 	h.forget("a")
 	f = h.prepare(false)
--- a/internal/scheduler/lagging.go
+++ b/internal/scheduler/lagging.go
@@ -12,45 +12,45 @@
 	// as slow. Members on healthy workers differed by up to 1.3 times, and the workers of a site differ by 1.6
 	// (0.8 to 1.25 of the usual speed).
 	laggingAt = 3
-	// paceAge is the minimum age of a run whose speed is derived from its share, which is reported in whole
+	// speedMinAge is the minimum age of a run whose speed is derived from its share, which is reported in whole
 	// percent.
-	paceAge = 700 * time.Millisecond
-	// leastTold replaces a reported share of 0.
-	leastTold = 0.005
-	// laggingKept is how long a worker counts as slow after a gang member showed it: two polls of the other
+	speedMinAge = 700 * time.Millisecond
+	// minShare replaces a reported share of 0.
+	minShare = 0.005
+	// slowRetention is how long a worker counts as slow after a gang member showed it: two polls of the other
 	// members' workers, and about as long as slow periods last.
-	laggingKept = 5 * time.Second
-	// restartSoon is how long a restarted gang is expected to wait for capacity, in addition to the time of its
+	slowRetention = 5 * time.Second
+	// restartWait is how long a restarted gang is expected to wait for capacity, in addition to the time of its
 	// stop.
-	restartSoon = 300 * time.Millisecond
+	restartWait = 300 * time.Millisecond
 )
 
-// pace returns the share of its work that a run does per second, recently or else since its start; 0 if
+// speed returns the share of its work that a run does per second, recently or else since its start; 0 if
 // unknown.
-func (r *run) pace() float64 {
+func (r *run) speed() float64 {
 	p := &r.progress
 	if p.at.IsZero() || r.confirmed.IsZero() {
 		return 0
 	}
 	if p.share >= 1 {
-		return max(p.best, 1/max(p.moved.Sub(r.confirmed).Seconds(), paceAge.Seconds()))
+		return max(p.best, 1/max(p.moved.Sub(r.confirmed).Seconds(), speedMinAge.Seconds()))
 	}
 	if p.rate > 0 {
 		return p.rate
 	}
 	age := p.at.Sub(r.confirmed)
-	if age < paceAge || r.saved != "" {
+	if age < speedMinAge || r.saved != "" {
 		return 0
 	}
-	return max(p.share, leastTold) / age.Seconds()
+	return max(p.share, minShare) / age.Seconds()
 }
 
-// laggards returns the members of a gang that are far slower than the others, and how long the whole work would
+// slowMembers returns the members of a gang that are far slower than the others, and how long the whole work would
 // take without them. It returns nil if fewer than two members, or fewer than half of them, have a known speed.
-func (x *held) laggards() (slow []*run, whole time.Duration) {
+func (x *held) slowMembers() (slow []*run, whole time.Duration) {
 	var paces []float64
 	for _, r := range x.runs {
-		if pace := r.pace(); pace > 0 {
+		if pace := r.speed(); pace > 0 {
 			paces = append(paces, pace)
 		}
 	}
@@ -60,7 +60,7 @@
 	slices.Sort(paces)
 	usual := paces[len(paces)/2]
 	for _, r := range x.runs {
-		switch pace := r.pace(); {
+		switch pace := r.speed(); {
 		case pace <= 0:
 		case pace < usual/laggingAt:
 			slow = append(slow, r)
@@ -71,12 +71,12 @@
 	return slow, whole
 }
 
-// endLagging marks the workers that gangs on w show to be slow, so that others avoid them. It restarts a gang
+// handleSlowMembers marks the workers that gangs on w show to be slow, so that others avoid them. It restarts a gang
 // without them if the gang would otherwise end too late to earn anything. On a day with 17% of the workers 6.6
 // times slower for 5.5 s, most gangs had a member on one, and urgent gangs of 2.5 s took 7 to 20 s. Slow
 // periods pass: restarting every gang that would end sooner that way lost two and a half times as much work and
 // served no more.
-func (h *shard) endLagging(w *workerState, now time.Time) {
+func (h *shard) handleSlowMembers(w *workerState, now time.Time) {
 	var last *held
 	for _, r := range w.runs {
 		x := r.held
@@ -84,19 +84,19 @@
 			continue
 		}
 		last = x
-		if slow, whole := x.laggards(); len(slow) > 0 {
-			h.takeLaggards(x, slow, whole, now)
+		if slow, whole := x.slowMembers(); len(slow) > 0 {
+			h.handleSlowGang(x, slow, whole, now)
 		}
 	}
 }
 
-func (h *shard) takeLaggards(x *held, slow []*run, whole time.Duration, now time.Time) {
+func (h *shard) handleSlowGang(x *held, slow []*run, whole time.Duration, now time.Time) {
 	left := time.Duration(0)
 	for _, r := range slow {
-		r.worker.laggedAt = now
-		left = max(left, seconds((1-r.progress.share)/r.pace()))
+		r.worker.slowAt = now
+		left = max(left, seconds((1-r.progress.share)/r.speed()))
 	}
-	if !h.saves(x, left, whole, now) {
+	if !h.isRestartWorthwhile(x, left, whole, now) {
 		return
 	}
 	first := x.runs[0]
@@ -108,18 +108,18 @@
 	}
 }
 
-// saves reports whether a gang that needs left more time earns nothing unless it restarts, and a restart earns
+// isRestartWorthwhile reports whether a gang that needs left more time earns nothing unless it restarts, and a restart earns
 // a part worth more than the lost work.
-func (h *shard) saves(x *held, left, whole time.Duration, now time.Time) bool {
+func (h *shard) isRestartWorthwhile(x *held, left, whole time.Duration, now time.Time) bool {
 	first := x.runs[0]
 	request := first.job.Request
 	lastGoal := time.UnixMilli(request.Due(first.task.Occurrence)).Add(lateFactor * h.allowed(request))
 	late := now.Add(left).After(lastGoal)
-	anew := !now.Add(h.Bounds.StopTime + restartSoon + whole).After(lastGoal)
+	anew := !now.Add(h.Bounds.StopTime + restartWait + whole).After(lastGoal)
 	return late && anew && lateShare*h.value(request) >= h.lossOf(x, now)*h.Bounds.Policy.WasteCost
 }
 
 // lags reports whether a gang member recently showed the worker to be slow.
-func (c *conduct) lags(now time.Time) bool {
-	return !c.laggedAt.IsZero() && now.Sub(c.laggedAt) < laggingKept
+func (c *workerHealth) lags(now time.Time) bool {
+	return !c.slowAt.IsZero() && now.Sub(c.slowAt) < slowRetention
 }
--- a/internal/scheduler/leaving.go
+++ b/internal/scheduler/leaving.go
@@ -10,100 +10,100 @@
 )
 
 const (
-	// toldStep is the resolution of the reported share of a run's work.
-	toldStep = 0.01
-	// beginsWithin is the time in which all members of a gang have begun to work. A run that reports no share
+	// shareResolution is the resolution of the reported share of a run's work.
+	shareResolution = 0.01
+	// gangStartTime is the time in which all members of a gang have begun to work. A run that reports no share
 	// after that is waiting for another member, so its speed is unknown.
-	beginsWithin = 500 * time.Millisecond
+	gangStartTime = 500 * time.Millisecond
 	// leavingSlack is how much longer than its worker stays a run must need before it is stopped early, as a
 	// share of that need.
 	leavingSlack = 0.05
 	// stopMargin is added to the maximum stop time when a run is stopped before its worker leaves. It covers
 	// the command and the poll that brings the end.
 	stopMargin = 200 * time.Millisecond
-	// lastMoments is how long before a worker may be gone all of its runs are stopped.
-	lastMoments = 150 * time.Millisecond
+	// finalStopTime is how long before a worker may be gone all of its runs are stopped.
+	finalStopTime = 150 * time.Millisecond
 )
 
 // departure is the state of a run on a leaving worker.
 type departure struct {
-	worked time.Duration // How long the run had worked at its last report of a share.
-	share  float64       // The share of its work done by then, rounded down.
-	since  time.Duration // Time since that report.
-	left   time.Duration // Time until the worker leaves.
-	keeps  bool          // It checkpoints, so that its progress is kept if it ends early.
+	worked       time.Duration // How long the run had worked at its last report of a share.
+	share        float64       // The share of its work done by then, rounded down.
+	sinceReport  time.Duration // Time since that report.
+	untilLeaving time.Duration // Time until the worker leaves.
+	checkpoints  bool          // It checkpoints, so that its progress is kept if it ends early.
 }
 
-// isLost reports whether the run can't end before its worker leaves, so that all of its progress is lost then.
-func (d *departure) isLost() bool {
-	if d.keeps || d.worked <= 0 || d.share >= 1 || d.share < toldStep && d.worked > beginsWithin {
+// isWorkLost reports whether the run can't end before its worker leaves, so that all of its progress is lost then.
+func (d *departure) isWorkLost() bool {
+	if d.checkpoints || d.worked <= 0 || d.share >= 1 || d.share < shareResolution && d.worked > gangStartTime {
 		return false
 	}
-	whole := seconds(d.worked.Seconds() / (d.share + toldStep)) // At least, as the share is rounded down.
-	rest := whole - d.worked - d.since
-	return rest > d.left+time.Duration(leavingSlack*float64(rest))
+	whole := seconds(d.worked.Seconds() / (d.share + shareResolution)) // At least, as the share is rounded down.
+	rest := whole - d.worked - d.sinceReport
+	return rest > d.untilLeaving+time.Duration(leavingSlack*float64(rest))
 }
 
-// endLeaving restarts at once the runs whose work is sure to be lost when their worker leaves. Less work is
+// restartLostWork restarts at once the runs whose work is sure to be lost when their worker leaves. Less work is
 // lost, and urgent gangs of 2.5 s with a goal of 1.5 times that may still be in time. On days on which a tenth
 // of the workers left twice with 1.8 s notice, waiting until they had left lost 5% to 7% of the value of urgent
 // work.
-func (h *shard) endLeaving(w *workerState, now time.Time) {
+func (h *shard) restartLostWork(w *workerState, now time.Time) {
 	if !w.Draining || w.leavesAt.IsZero() {
 		return
 	}
 	for _, r := range w.runs {
 		d := h.departureOf(w, r, now)
-		if r.held.stopping || !d.isLost() {
+		if r.held.stopping || !d.isWorkLost() {
 			continue
 		}
 		h.Figures.Count("runs_left")
 		h.Log.Info("scheduler: stopping a run that can't end before its worker leaves; its task restarts elsewhere", zap.String("job", string(r.task.Job)), zap.Int("step", r.task.Step),
-			zap.Int("run", r.number), zap.Inline(w.life), zap.Duration("left", d.left), zap.Duration("worked", d.worked), zap.Float64("share", d.share))
+			zap.Int("run", r.number), zap.Inline(w.life), zap.Duration("left", d.untilLeaving), zap.Duration("worked", d.worked), zap.Float64("share", d.share))
 		for _, m := range r.held.runs {
 			h.stop(m.worker, m, "a worker leaves")
 		}
 	}
 }
 
-// noteLeaving applies what a worker's record, written after asOf, tells of its departure. Each rewritten record
+// recordDeparture applies what a worker's record, written after asOf, tells of its departure. Each rewritten record
 // gives the time left at that moment, so the latest resulting end counts: a successor doesn't know the age of
 // the first record that it reads.
-func (h *shard) noteLeaving(w *workerState, record *fleet.Worker, asOf time.Time) {
+func (h *shard) recordDeparture(w *workerState, record *fleet.Worker, asOf time.Time) {
 	if !record.Draining {
-		w.leavesAt, w.stays = time.Time{}, time.Time{}
+		w.leavesAt, w.staysUntil = time.Time{}, time.Time{}
 		return
 	}
-	written := h.marks.before(record.Version)
+	written := h.marks.writtenAfter(record.Version)
 	// The same record read again was not written since.
 	if isNews := !w.Draining || record.Leaves != w.Leaves; isNews && asOf.After(written) {
 		written = asOf
 	}
-	if stays := written.Add(record.Leaves); !w.Draining || stays.After(w.stays) {
-		w.stays = stays
+	if stays := written.Add(record.Leaves); !w.Draining || stays.After(w.staysUntil) {
+		w.staysUntil = stays
 	}
 	if w.leavesAt.IsZero() {
 		w.leavesAt = time.Now().Add(record.Leaves)
 		said := w.leavesAt
-		h.ordering.Go(func() { h.clearLeaving(w, said) })
+		h.ordering.Go(func() { h.drainLeaving(w, said) })
 	}
 }
 
-// clearLeaving stops the runs on a leaving worker before it may be gone. A run that ends in the last moments of
+// drainLeaving stops the runs on a leaving worker before it may be gone. A run that ends in the last moments of
 // its process can't report its end, and its task then waits until the worker's leases have expired. Runs that
 // won't end in time are stopped first, as late as their stops surely take effect, and all others just before
 // the end. It returns early if the worker's announced departure is no longer at said.
-func (h *shard) clearLeaving(w *workerState, said time.Time) {
-	h.stopLeft(w, said, h.Bounds.StopTime+stopMargin, func(r *run) bool { return !r.held.endsBefore(w.stays.Add(-lastMoments)) })
-	h.stopLeft(w, said, lastMoments, func(*run) bool { return true })
+func (h *shard) drainLeaving(w *workerState, said time.Time) {
+	h.stopBefore(w, said, h.Bounds.StopTime+stopMargin, func(r *run) bool { return !r.held.endsBefore(w.staysUntil.Add(-finalStopTime)) })
+	h.stopBefore(w, said, finalStopTime, func(*run) bool { return true })
 }
 
-// stopLeft waits until ahead before the worker may be gone and then stops the runs selected by isLeft, with
+// stopBefore waits until ahead before the worker may be gone and then stops the runs selected by isLeft, with
 // their gangs. It returns early if the worker's announced departure is no longer at said.
-func (h *shard) stopLeft(w *workerState, said time.Time, ahead time.Duration, isLeft func(*run) bool) {
+func (h *shard) stopBefore(w *workerState, said time.Time, ahead time.Duration, isLeft func(*run) bool) {
 	for {
 		h.mu.Lock()
-		stays, left := w.stays, w.leavesAt.Equal(said)
+		stays, left := w.staysUntil, w.leavesAt.Equal(said)
 		wait := time.Until(stays.Add(-ahead))
 		if left && wait <= 0 {
 			h.stopRuns(w, isLeft)
@@ -157,6 +157,6 @@
 		return departure{}
 	}
 	return departure{
-		worked: p.at.Sub(r.confirmed), share: p.share, since: now.Sub(p.at), left: w.leavesAt.Sub(now), keeps: step.Checkpoints,
+		worked: p.at.Sub(r.confirmed), share: p.share, sinceReport: now.Sub(p.at), untilLeaving: w.leavesAt.Sub(now), checkpoints: step.Checkpoints,
 	}
 }
--- a/internal/scheduler/leaving_test.go
+++ b/internal/scheduler/leaving_test.go
@@ -10,33 +10,33 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-func TestWorkThatIsLostWithItsWorker(t *testing.T) {
+func TestIsWorkLost(t *testing.T) {
 	const ms = time.Millisecond
 	tests := []struct {
 		name string
 		d    departure
 		want bool
 	}{
-		{"half done in a second, 0.9 s more to do", departure{worked: 1000 * ms, share: 0.5, left: 1800 * ms}, false},
-		{"a fifth done in a second, 3.8 s more at least", departure{worked: 1000 * ms, share: 0.2, left: 1800 * ms}, true},
-		{"it would end right when the worker leaves", departure{worked: 1000 * ms, share: 0.34, left: 1800 * ms}, false},
-		{"told long ago", departure{worked: 1000 * ms, share: 0.2, since: 1500 * ms, left: 2400 * ms}, false},
-		{"just begun", departure{worked: 60 * ms, share: 0, left: 1800 * ms}, true},
-		{"just begun, a short one perhaps", departure{worked: 15 * ms, share: 0, left: 1800 * ms}, false},
-		{"a gang that waits for a member", departure{worked: 900 * ms, share: 0, left: 1800 * ms}, false},
-		{"it keeps its state", departure{worked: 1000 * ms, share: 0.2, left: 1800 * ms, keeps: true}, false},
-		{"done", departure{worked: 1000 * ms, share: 1, left: 0}, false},
-		{"nothing told", departure{left: 10 * ms}, false},
+		{"half done in a second, 0.9 s more to do", departure{worked: 1000 * ms, share: 0.5, untilLeaving: 1800 * ms}, false},
+		{"a fifth done in a second, 3.8 s more at least", departure{worked: 1000 * ms, share: 0.2, untilLeaving: 1800 * ms}, true},
+		{"it would end right when the worker leaves", departure{worked: 1000 * ms, share: 0.34, untilLeaving: 1800 * ms}, false},
+		{"told long ago", departure{worked: 1000 * ms, share: 0.2, sinceReport: 1500 * ms, untilLeaving: 2400 * ms}, false},
+		{"just begun", departure{worked: 60 * ms, share: 0, untilLeaving: 1800 * ms}, true},
+		{"just begun, a short one perhaps", departure{worked: 15 * ms, share: 0, untilLeaving: 1800 * ms}, false},
+		{"a gang that waits for a member", departure{worked: 900 * ms, share: 0, untilLeaving: 1800 * ms}, false},
+		{"it keeps its state", departure{worked: 1000 * ms, share: 0.2, untilLeaving: 1800 * ms, checkpoints: true}, false},
+		{"done", departure{worked: 1000 * ms, share: 1, untilLeaving: 0}, false},
+		{"nothing told", departure{untilLeaving: 10 * ms}, false},
 	}
 	for _, test := range tests {
-		t.Run(test.name, func(t *testing.T) { quicktest.Check(t, test.d.isLost(), quicktest.Equals, test.want) })
+		t.Run(test.name, func(t *testing.T) { quicktest.Check(t, test.d.isWorkLost(), quicktest.Equals, test.want) })
 	}
 }
 
-// TestAWorkerThatStaysIsNotCleared: a worker's record announces a departure and later withdraws it. The
+// TestWithdrawnDepartureDoesNotDrain: a worker's record announces a departure and later withdraws it. The
 // worker's runs were stopped all the same at the time of the departure, and a worker that announced a second
 // one was not drained for it.
-func TestAWorkerThatStaysIsNotCleared(t *testing.T) {
+func TestWithdrawnDepartureDoesNotDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := silentShard()
 		defer h.ordering.Wait()
@@ -46,7 +46,7 @@
 			record.Draining, record.Leaves = draining, 3*time.Second
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.addWorker(&record, time.Now())
+			h.applyWorkerRecord(&record, time.Now())
 		}
 		stopping := func() bool {
 			h.mu.Lock()
@@ -71,9 +71,9 @@
 	})
 }
 
-// TestALeaverIsClearedByTheAgeOfItsNews fails if the runs of a leaving worker are stopped too late. The worker
+// TestDrainAllowsForTheAgeOfTheRecord fails if the runs of a leaving worker are stopped too late. The worker
 // may have announced its departure as early as just after the records were read the last time.
-func TestALeaverIsClearedByTheAgeOfItsNews(t *testing.T) {
+func TestDrainAllowsForTheAgeOfTheRecord(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		age, stopsIn time.Duration
@@ -88,7 +88,7 @@
 			record := w.Worker
 			record.Draining, record.Leaves = true, 3*time.Second
 			h.mu.Lock()
-			h.addWorker(&record, said.Add(-c.age))
+			h.applyWorkerRecord(&record, said.Add(-c.age))
 			h.mu.Unlock()
 			h.ordering.Wait()
 			quicktest.Check(t, r.stopping, quicktest.IsTrue)
@@ -97,11 +97,11 @@
 	}
 }
 
-// TestALeaverIsClearedByItsWholeGang: a gang's member on a leaving worker was nearly done, another one
+// TestDrainConsidersTheWholeGang: a gang's member on a leaving worker was nearly done, another one
 // elsewhere far behind. Judged by the first one alone, the gang ran until the worker's last moments. The stop
 // came too late for the worker to report the end, and the gang restarted 5 s later, when its leases had
 // expired.
-func TestALeaverIsClearedByItsWholeGang(t *testing.T) {
+func TestDrainConsidersTheWholeGang(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		other   float64 // Share done by the other member, while the leaving one did 0.9.
@@ -124,7 +124,7 @@
 			record := w.Worker
 			record.Draining, record.Leaves = true, 3*time.Second
 			h.mu.Lock()
-			h.addWorker(&record, said)
+			h.applyWorkerRecord(&record, said)
 			h.mu.Unlock()
 			h.ordering.Wait()
 			quicktest.Check(t, here.stopAsked.Sub(said), quicktest.Equals, c.stopsIn)
@@ -133,10 +133,10 @@
 	}
 }
 
-// TestALeaverTellsAnew: a leaving worker writes the time left with each heartbeat. When only the first record
+// TestRewrittenRecordExtendsDeparture: a leaving worker writes the time left with each heartbeat. When only the first record
 // counted, which a successor takes for older than it is, its runs were stopped seconds too early. A record that
 // is read again without a change is as old as before.
-func TestALeaverTellsAnew(t *testing.T) {
+func TestRewrittenRecordExtendsDeparture(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		// By the second record, read 1 s after the first one and written at most 0.3 s before.
@@ -153,7 +153,7 @@
 				record.Draining, record.Leaves = true, leaves
 				h.mu.Lock()
 				defer h.mu.Unlock()
-				h.addWorker(&record, time.Now().Add(-age))
+				h.applyWorkerRecord(&record, time.Now().Add(-age))
 			}
 			tell(6*time.Second, 2*time.Second)
 			time.Sleep(time.Second)
--- a/internal/scheduler/lives_test.go
+++ b/internal/scheduler/lives_test.go
@@ -15,84 +15,84 @@
 
 // Two incarnations of the worker of silentShard.
 var (
-	firstLife  = life.ID{Worker: "w", Born: 1000}
-	secondLife = life.ID{Worker: "w", Born: 2000}
+	firstIncarnation  = life.ID{Worker: "w", Born: 1000}
+	secondIncarnation = life.ID{Worker: "w", Born: 2000}
 )
 
-// livingShard returns silentShard with a worker that has a start time. No command reaches a worker there.
-func livingShard() (*shard, *workerState) {
+// shardWithIncarnation returns silentShard with a worker that has a start time. No command reaches a worker there.
+func shardWithIncarnation() (*shard, *workerState) {
 	h, w := silentShard()
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	h.ctx, h.tenure, h.Orders = over, &ledger.Tenure{}, silent{}
-	w.life, w.Born, w.listed = firstLife, firstLife.Born, true
+	h.ctx, h.tenure, h.Orders = over, &ledger.Tenure{}, unreachable{}
+	w.life, w.Born, w.listed = firstIncarnation, firstIncarnation.Born, true
 	for _, r := range w.runs {
-		r.life, r.ordered = firstLife, time.Now()
+		r.life, r.ordered = firstIncarnation, time.Now()
 	}
 	return h, w
 }
 
-// TestEndsOfALaterLife: a worker ended two runs, which was committed, and restarted under its name. The reports
+// TestEndsOfALaterIncarnation: a worker ended two runs, which was committed, and restarted under its name. The reports
 // of the next incarnation were ignored: its clock was behind until it had lived as long as the one before, and
 // its first end had a number that was already applied.
-func TestEndsOfALaterLife(t *testing.T) {
+func TestEndsOfALaterIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := livingShard()
+		h, w := shardWithIncarnation()
 		task := job.Task{Job: "j"}
-		h.takeReport(w, &fleet.Report{Life: firstLife, Clock: 50000, Running: []fleet.Run{{Task: task, Run: 1}}}, w.mark(), 0)
+		h.takeReport(w, &fleet.Report{Life: firstIncarnation, Clock: 50000, Running: []fleet.Run{{Task: task, Run: 1}}}, w.mark(), 0)
 		w.applied, w.acknowledged = 2, 2
 		quicktest.Check(t, w.toForget(), quicktest.Equals, int64(2))
-		h.takeReport(w, &fleet.Report{Life: secondLife, Clock: 900}, w.mark(), 2)
+		h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 900}, w.mark(), 2)
 		quicktest.Check(t, w.runs, quicktest.HasLen, 0)
 		quicktest.Check(t, h.jobs["j"].LossesOf(task).All, quicktest.Equals, 1)
 		quicktest.Check(t, w.toForget(), quicktest.Equals, int64(0))
 		quicktest.Check(t, w.usable(time.Now()), quicktest.IsFalse, quicktest.Commentf("its record is that of the earlier incarnation"))
-		h.addWorker(&fleet.Worker{ID: "w", Born: secondLife.Born, Capacity: job.Resources{Accelerators: 8}}, time.Time{})
+		h.applyWorkerRecord(&fleet.Worker{ID: "w", Born: secondIncarnation.Born, Capacity: job.Resources{Accelerators: 8}}, time.Time{})
 		quicktest.Check(t, w.usable(time.Now()), quicktest.IsTrue)
 
 		h.place(&h.takeView(time.Now()).Demands[0], map[int]string{0: "w"}, time.Now())
 		w.runs[task].ordered = time.Now()
-		h.takeReport(w, &fleet.Report{Life: secondLife, Clock: 2900, Ended: []fleet.End{{Number: 1, Task: task, Run: 2, Outcome: job.Succeeded}}}, w.mark(), 0)
+		h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 2900, Ended: []fleet.End{{Number: 1, Task: task, Run: 2, Outcome: job.Succeeded}}}, w.mark(), 0)
 		quicktest.Check(t, h.jobs["j"].Progress.State, quicktest.Equals, job.Completed)
 	})
 }
 
-// TestALaterLifeListsARun: a command names no incarnation, so the next one may have executed a start before its
+// TestLaterIncarnationListsARun: a command names no incarnation, so the next one may have executed a start before its
 // restart was known. A run that it lists was not lost.
-func TestALaterLifeListsARun(t *testing.T) {
+func TestLaterIncarnationListsARun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := livingShard()
+		h, w := shardWithIncarnation()
 		task := job.Task{Job: "j"}
-		h.takeReport(w, &fleet.Report{Life: secondLife, Clock: 30, Running: []fleet.Run{{Task: task, Run: 1}}}, w.mark(), 0)
+		h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 30, Running: []fleet.Run{{Task: task, Run: 1}}}, w.mark(), 0)
 		quicktest.Assert(t, w.runs, quicktest.HasLen, 1)
-		quicktest.Check(t, w.runs[task].life, quicktest.Equals, secondLife)
+		quicktest.Check(t, w.runs[task].life, quicktest.Equals, secondIncarnation)
 		quicktest.Check(t, h.jobs["j"].LossesOf(task).All, quicktest.Equals, 0)
 	})
 }
 
-// TestLateWordOfAnEarlierLife: the report of an earlier incarnation arrives late. An end in it counts, but
+// TestLateReportOfAnEarlierIncarnation: the report of an earlier incarnation arrives late. An end in it counts, but
 // neither its clock nor its end numbers may be taken for those of the present incarnation.
-func TestLateWordOfAnEarlierLife(t *testing.T) {
+func TestLateReportOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := livingShard()
+		h, w := shardWithIncarnation()
 		task, before := job.Task{Job: "j"}, w.mark()
-		h.takeReport(w, &fleet.Report{Life: secondLife, Clock: 30}, w.mark(), 0)
-		h.takeReport(w, &fleet.Report{Life: firstLife, Clock: 60000, Ended: []fleet.End{{Number: 9, Task: task, Run: 1, Outcome: job.Succeeded}}}, before, 8)
+		h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 30}, w.mark(), 0)
+		h.takeReport(w, &fleet.Report{Life: firstIncarnation, Clock: 60000, Ended: []fleet.End{{Number: 9, Task: task, Run: 1, Outcome: job.Succeeded}}}, before, 8)
 		quicktest.Check(t, h.jobs["j"].Progress.State, quicktest.Equals, job.Completed)
-		quicktest.Check(t, w.life, quicktest.Equals, secondLife)
+		quicktest.Check(t, w.life, quicktest.Equals, secondIncarnation)
 		quicktest.Check(t, []int64{w.clock, w.applied, w.told}, quicktest.DeepEquals, []int64{30, 0, 0})
-		quicktest.Check(t, h.addWorker(&fleet.Worker{ID: "w", Born: firstLife.Born, Draining: true}, time.Time{}), quicktest.IsFalse)
+		quicktest.Check(t, h.applyWorkerRecord(&fleet.Worker{ID: "w", Born: firstIncarnation.Born, Draining: true}, time.Time{}), quicktest.IsFalse)
 		quicktest.Check(t, w.Draining, quicktest.IsFalse)
 	})
 }
 
-// TestAClockThatGoesBack: the answer to a start shows that another incarnation gave it. Until a report tells
+// TestClockGoesBack: the answer to a start shows that another incarnation gave it. Until a report tells
 // which one, no ends are acknowledged to the worker, its leases are not renewed, and nothing else starts there.
-func TestAClockThatGoesBack(t *testing.T) {
+func TestClockGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := livingShard()
+		h, w := shardWithIncarnation()
 		h.held = time.Now()
-		h.takeReport(w, &fleet.Report{Life: firstLife, Clock: 50000, Running: []fleet.Run{{Task: job.Task{Job: "j"}, Run: 1}}}, w.mark(), 0)
+		h.takeReport(w, &fleet.Report{Life: firstIncarnation, Clock: 50000, Running: []fleet.Run{{Task: job.Task{Job: "j"}, Run: 1}}}, w.mark(), 0)
 		w.applied, w.acknowledged = 2, 2
 		certain := func() bool { return w.usable(time.Now()) && h.renew(w) > 0 && w.toForget() == 2 }
 		quicktest.Check(t, certain(), quicktest.IsTrue)
@@ -106,24 +106,24 @@
 	})
 }
 
-// TestAdoptedOnAnEarlierLife: a predecessor placed a run on an incarnation that has since been replaced. The
+// TestRunAdoptedOnAnEarlierIncarnation: a predecessor placed a run on an incarnation that has since been replaced. The
 // run was lost with it and did not fail to start, so the loss must count against its task.
-func TestAdoptedOnAnEarlierLife(t *testing.T) {
+func TestRunAdoptedOnAnEarlierIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		placed life.ID
 		losses int
-	}{{firstLife, 1}, {secondLife, 0}, {life.ID{Worker: "w"}, 0}} {
+	}{{firstIncarnation, 1}, {secondIncarnation, 0}, {life.ID{Worker: "w"}, 0}} {
 		synctest.Test(t, func(t *testing.T) {
 			h := keptShard()
 			over, cancel := context.WithCancel(context.Background())
 			cancel()
-			h.ctx, h.tenure, h.Orders = over, &ledger.Tenure{}, silent{}
-			h.takeListing(Listing{Workers: []fleet.Worker{{ID: "w", Born: secondLife.Born, Address: "a"}}}, true)
+			h.ctx, h.tenure, h.Orders = over, &ledger.Tenure{}, unreachable{}
+			h.takeListing(Listing{Workers: []fleet.Worker{{ID: "w", Born: secondIncarnation.Born, Address: "a"}}}, true)
 			h.addJob(&job.Request{ID: "j", Steps: []job.Step{{Count: 1}}}, &job.Progress{
 				State: job.Running, GangRuns: []int{0}, Tasks: []job.TaskProgress{{State: job.Placed, Run: 1, Worker: c.placed}},
 			})
 			w := h.workers["w"]
-			h.takeReport(w, &fleet.Report{Life: secondLife, Clock: 30}, w.mark(), 0)
+			h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 30}, w.mark(), 0)
 			quicktest.Check(t, w.runs, quicktest.HasLen, 0)
 			quicktest.Check(t, h.jobs["j"].LossesOf(job.Task{Job: "j"}).All, quicktest.Equals, c.losses, quicktest.Commentf("placed on %v", c.placed))
 			h.ordering.Wait()
@@ -131,31 +131,31 @@
 	}
 }
 
-// TestAnEndedLifeComesAgain: the record of an ended incarnation remains for some seconds and must be ignored. A
+// TestRecordOfAnEndedIncarnation: the record of an ended incarnation remains for some seconds and must be ignored. A
 // worker whose last incarnation had ended was ignored whatever it recorded, until another worker's incarnation
 // ended.
-func TestAnEndedLifeComesAgain(t *testing.T) {
+func TestRecordOfAnEndedIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := livingShard()
-		h.endLife(w)
-		quicktest.Check(t, h.addWorker(&fleet.Worker{ID: "w", Born: firstLife.Born}, time.Time{}), quicktest.IsFalse)
-		quicktest.Check(t, h.addWorker(&fleet.Worker{ID: "w", Born: secondLife.Born}, time.Time{}), quicktest.IsTrue)
-		h.endLife(h.workers["w"])
-		time.Sleep(endedLifeKept + time.Second)
-		quicktest.Check(t, h.addWorker(&fleet.Worker{ID: "w", Born: secondLife.Born}, time.Time{}), quicktest.IsTrue)
+		h, w := shardWithIncarnation()
+		h.endIncarnation(w)
+		quicktest.Check(t, h.applyWorkerRecord(&fleet.Worker{ID: "w", Born: firstIncarnation.Born}, time.Time{}), quicktest.IsFalse)
+		quicktest.Check(t, h.applyWorkerRecord(&fleet.Worker{ID: "w", Born: secondIncarnation.Born}, time.Time{}), quicktest.IsTrue)
+		h.endIncarnation(h.workers["w"])
+		time.Sleep(endedIncarnationRetention + time.Second)
+		quicktest.Check(t, h.applyWorkerRecord(&fleet.Worker{ID: "w", Born: secondIncarnation.Born}, time.Time{}), quicktest.IsTrue)
 		h.ordering.Wait()
 	})
 }
 
-// TestLateStartsAreForestalled: a start without an answer may be executed by any later incarnation. Its task
+// TestLateStartsArePrevented: a start without an answer may be executed by any later incarnation. Its task
 // must wait until that one has accepted the stop and does not list the run, and operators must see the reason.
-func TestLateStartsAreForestalled(t *testing.T) {
+func TestLateStartsArePrevented(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := livingShard()
+		h, w := shardWithIncarnation()
 		r := w.runs[job.Task{Job: "j"}]
 		w.noteOpen(r, time.Now())
 		waiting := func() int { return len(h.demand(h.jobs["j"], job.Group{}, time.Now()).Waiting) }
-		for _, l := range []life.ID{secondLife, {Worker: "w", Born: 3000}} {
+		for _, l := range []life.ID{secondIncarnation, {Worker: "w", Born: 3000}} {
 			h.takeReport(w, &fleet.Report{Life: l, Clock: 30}, w.mark(), 0)
 			quicktest.Assert(t, waiting(), quicktest.Equals, 0, quicktest.Commentf("%v", l))
 			quicktest.Check(t, h.whyHeld(h.jobs["j"]), quicktest.DeepEquals, []string{
@@ -170,12 +170,12 @@
 	})
 }
 
-// TestARecordWithoutAStart: other writers may leave out fields of a worker's record. One without the start
+// TestRecordWithoutStartTime: other writers may leave out fields of a worker's record. One without the start
 // time, which the worker's own records have, must not count as the worker's.
-func TestARecordWithoutAStart(t *testing.T) {
-	h, w := livingShard()
-	quicktest.Check(t, h.addWorker(&fleet.Worker{ID: "w"}, time.Time{}), quicktest.IsFalse)
+func TestRecordWithoutStartTime(t *testing.T) {
+	h, w := shardWithIncarnation()
+	quicktest.Check(t, h.applyWorkerRecord(&fleet.Worker{ID: "w"}, time.Time{}), quicktest.IsFalse)
 	quicktest.Check(t, w.listed, quicktest.IsFalse)
 	quicktest.Check(t, w.foreign, quicktest.IsTrue)
-	quicktest.Check(t, w.life, quicktest.Equals, firstLife)
+	quicktest.Check(t, w.life, quicktest.Equals, firstIncarnation)
 }
--- a/internal/scheduler/loss.go
+++ b/internal/scheduler/loss.go
@@ -16,10 +16,10 @@
 type lossCause int
 
 const (
-	otherLife    lossCause = iota // Another incarnation answers at its address.
-	recordGone                    // Its record is gone, and nothing ran there.
-	leasesOver                    // It is silent, and its leases have expired.
-	startedAgain                  // A later incarnation of it answers.
+	otherIncarnation lossCause = iota // Another incarnation answers at its address.
+	recordGone                        // Its record is gone, and nothing ran there.
+	leasesOver                        // It is silent, and its leases have expired.
+	restarted                         // A later incarnation of it answers.
 )
 
 // String returns the cause for logs.
@@ -29,72 +29,72 @@
 
 // proves reports whether the worker's process has surely ended. Otherwise it may only be cut off and still
 // running.
-func (c lossCause) proves() bool { return c == otherLife || c == startedAgain }
+func (c lossCause) proves() bool { return c == otherIncarnation || c == restarted }
 
-// name returns the cause as part of a metric's name.
-func (c lossCause) name() string {
+// metricName returns the cause as part of a metric's name.
+func (c lossCause) metricName() string {
 	return [...]string{"other_life", "record_gone", "leases_over", "started_again"}[c]
 }
 
 // runLoss describes how a run was lost with its worker, for logs.
 type runLoss struct {
-	Cause   lossCause
-	Ordered bool          // A command to start it was sent.
-	Seen    time.Duration // How long after that command the worker last answered.
-	Newest  bool          // No run was commanded to start there after it.
-	Beside  int           // Number of other runs lost with it.
+	Cause       lossCause
+	Ordered     bool          // A command to start it was sent.
+	AnsweredFor time.Duration // How long after that command the worker last answered.
+	Newest      bool          // No run was commanded to start there after it.
+	LostBeside  int           // Number of other runs lost with it.
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (l *runLoss) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	e.AddString("cause", l.Cause.String())
 	e.AddBool("ordered", l.Ordered)
-	e.AddDuration("seen", l.Seen)
+	e.AddDuration("seen", l.AnsweredFor)
 	e.AddBool("newest", l.Newest)
-	e.AddInt("beside", l.Beside)
+	e.AddInt("beside", l.LostBeside)
 	return nil
 }
 
 // loseWorker declares a worker lost, together with all of its runs.
 func (h *shard) loseWorker(w *workerState, cause lossCause) {
-	h.Figures.Count("workers_lost_" + cause.name())
+	h.Figures.Count("workers_lost_" + cause.metricName())
 	w.gone = true
 	h.Log.Warn("scheduler: worker declared lost; its runs are presumed ended", zap.Inline(w.life), zap.Stringer("why", cause), zap.Int("runs", len(w.runs)),
-		zap.String("hall", w.Hall), zap.Int("lost_in_hall", h.losses.Together(w.Hall, time.Now())), zap.Duration("known_for", time.Since(w.since)), h.beliefOf(w))
+		zap.String("hall", w.Hall), zap.Int("lost_in_hall", h.losses.Together(w.Hall, time.Now())), zap.Duration("known_for", time.Since(w.knownSince)), h.beliefOf(w))
 	h.loseRuns(w, cause)
-	h.keepOwed(w, cause)
+	h.keepPendingStops(w, cause)
 	delete(h.workers, w.ID)
-	h.addresses.changed(w.ID)
+	h.addresses.markChanged(w.ID)
 	h.roster = nil
 }
 
 // loseRuns ends all runs of a worker and assesses what the loss tells about their tasks.
 func (h *shard) loseRuns(w *workerState, cause lossCause) {
 	runs := slices.Collect(maps.Values(w.runs))
-	lost := h.endLost(w, w.life, runs, cause)
+	lost := h.endLostRuns(w, w.life, runs, cause)
 	for _, r := range runs {
-		h.oweStop(w, r)
+		h.addPendingStop(w, r)
 	}
-	h.chargeLost(lost, w.Draining)
+	h.assessLoss(lost, w.Draining)
 }
 
-// endLost ends runs that were lost with an incarnation of a worker and returns the loss for assessment.
-func (h *shard) endLost(w *workerState, l life.ID, runs []*run, cause lossCause) loss.Worker {
-	lost := h.lostWorker(w, l, runs, cause)
-	h.noteGivenUp(l, runs, cause)
-	newest, beside := newestOrder(runs), len(runs)-1
+// endLostRuns ends runs that were lost with an incarnation of a worker and returns the loss for assessment.
+func (h *shard) endLostRuns(w *workerState, l life.ID, runs []*run, cause lossCause) loss.Worker {
+	lost := h.workerLoss(w, l, runs, cause)
+	h.recordPresumedEnded(l, runs, cause)
+	newest, beside := newestStart(runs), len(runs)-1
 	for _, r := range runs {
 		r.lost = &runLoss{
-			Cause: cause, Ordered: !r.ordered.IsZero(), Newest: !r.ordered.Before(newest), Beside: beside, Seen: w.seen(r),
+			Cause: cause, Ordered: !r.ordered.IsZero(), Newest: !r.ordered.Before(newest), LostBeside: beside, AnsweredFor: w.answeredSince(r),
 		}
 		h.endRun(w, r, job.Lapsed, "")
 	}
 	return lost
 }
 
-// chargeLost assesses a worker's loss. If said, the worker had announced its departure, so no task caused the
+// assessLoss assesses a worker's loss. If said, the worker had announced its departure, so no task caused the
 // loss.
-func (h *shard) chargeLost(lost loss.Worker, said bool) {
+func (h *shard) assessLoss(lost loss.Worker, said bool) {
 	if said {
 		for _, r := range lost.Runs {
 			if j := h.jobs[r.Task.Job]; j != nil {
@@ -103,19 +103,19 @@
 		}
 		return
 	}
-	h.keepApart(lost.Runs)
+	h.recordLostTogether(lost.Runs)
 	h.charge(h.losses.Lost(lost, time.Now()))
 }
 
-// lostWorker returns the loss of an incarnation with some runs, for assessment. Runs whose start was never sent
+// workerLoss returns the loss of an incarnation with some runs, for assessment. Runs whose start was never sent
 // are left out, as they can't have caused it.
-func (h *shard) lostWorker(w *workerState, l life.ID, runs []*run, cause lossCause) loss.Worker {
-	lost := loss.Worker{Life: l, Address: w.Address, Heard: w.heardOf(), Missed: w.missedAt, Proven: cause.proves() || w.next != nil}
+func (h *shard) workerLoss(w *workerState, l life.ID, runs []*run, cause lossCause) loss.Worker {
+	lost := loss.Worker{Life: l, Address: w.Address, Heard: w.lastSeen(), Missed: w.missedAt, Proven: cause.proves() || w.nextRecord != nil}
 	hall, rack := w.Hall, w.Rack
-	if cause == startedAgain { // What is known of the worker is of its present incarnation.
+	if cause == restarted { // What is known of the worker is of its present incarnation.
 		lost.Heard, lost.Missed = time.Time{}, time.Time{}
-		if f := &w.former; f.life.Is(l) {
-			lost.Address, lost.Heard, lost.Missed = f.record.Address, f.heard, f.missed
+		if f := &w.previous; f.incarnation.Is(l) {
+			lost.Address, lost.Heard, lost.Missed = f.record.Address, f.lastSeen, f.missedAt
 			hall, rack = f.record.Hall, f.record.Rack
 		}
 	}
@@ -132,7 +132,7 @@
 		if r.ordered.IsZero() && !r.adopted || r.job.Progress.State.Final() {
 			continue
 		}
-		lost.Runs = append(lost.Runs, loss.Run{Task: r.task, Before: r.job.LossesOf(r.task), Seen: w.seen(r), Adopted: r.adopted})
+		lost.Runs = append(lost.Runs, loss.Run{Task: r.task, Before: r.job.LossesOf(r.task), Seen: w.answeredSince(r), Adopted: r.adopted})
 	}
 	return lost
 }
@@ -140,8 +140,8 @@
 // apartMost limits the jobs that are remembered as lost together with one.
 const apartMost = 32
 
-// keepApart records which jobs were lost together.
-func (h *shard) keepApart(runs []loss.Run) {
+// recordLostTogether records which jobs were lost together.
+func (h *shard) recordLostTogether(runs []loss.Run) {
 	for i := range runs {
 		j := h.jobs[runs[i].Task.Job]
 		for k := range runs {
@@ -157,14 +157,14 @@
 	}
 }
 
-// seen returns for how long after a run's start was sent, or a successor adopted it, the incarnation that it
+// answeredSince returns for how long after a run's start was sent, or a successor adopted it, the incarnation that it
 // was placed on is known to have answered.
-func (w *workerState) seen(r *run) time.Duration {
+func (w *workerState) answeredSince(r *run) time.Duration {
 	answered := w.clockAt
 	if w.life.Follows(r.life) {
 		answered = time.Time{}
-		if w.former.life.Is(r.life) {
-			answered = w.former.answered
+		if w.previous.incarnation.Is(r.life) {
+			answered = w.previous.answeredAt
 		}
 	}
 	switch {
@@ -176,27 +176,27 @@
 	return max(answered.Sub(r.ordered), 0)
 }
 
-// heardOf returns when a worker surely lived last.
-func (w *workerState) heardOf() time.Time {
-	if w.beatAt.After(w.clockAt) {
-		return w.beatAt
+// lastSeen returns when a worker surely lived last.
+func (w *workerState) lastSeen() time.Time {
+	if w.aliveAt.After(w.clockAt) {
+		return w.aliveAt
 	}
 	return w.clockAt
 }
 
-// missedMost is how many consecutive commands without an answer show that a worker is gone or unreachable; a
+// minMissed is how many consecutive commands without an answer show that a worker is gone or unreachable; a
 // single answer may be lost.
-const missedMost = 2
+const minMissed = 2
 
-// noteMissed records when a worker began to answer nothing. If it is lost, it was lost by then.
-func (w *workerState) noteMissed() {
-	if w.failures >= missedMost && !w.missedAt.After(w.heardOf()) {
+// recordMissed records when a worker began to answer nothing. If it is lost, it was lost by then.
+func (w *workerState) recordMissed() {
+	if w.failures >= minMissed && !w.missedAt.After(w.lastSeen()) {
 		w.missedAt = time.Now()
 	}
 }
 
-// newestOrder returns when the last of some runs was commanded to start.
-func newestOrder(runs []*run) time.Time {
+// newestStart returns when the last of some runs was commanded to start.
+func newestStart(runs []*run) time.Time {
 	var newest time.Time
 	for _, r := range runs {
 		if r.ordered.After(newest) {
--- a/internal/scheduler/loss_test.go
+++ b/internal/scheduler/loss_test.go
@@ -9,10 +9,10 @@
 	"github.com/pulleyring/pulleyring/internal/fleet"
 )
 
-// TestOtherLifeIsNoSignOfLife: a worker crashes as soon as a task has begun there, and seconds later another
+// TestAnswerOfAnotherIncarnationIsIgnored: a worker crashes as soon as a task has begun there, and seconds later another
 // incarnation at its address answers a command. That answer was taken for one of the crashed incarnation, so
 // that the task seemed to have run for those seconds.
-func TestOtherLifeIsNoSignOfLife(t *testing.T) {
+func TestAnswerOfAnotherIncarnationIsIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		err   error
@@ -31,17 +31,17 @@
 	}
 }
 
-// TestMissed: a worker that had been silent since a takeover was declared lost 14 s later, and seemed to be
+// TestTimeOfUnansweredCommands: a worker that had been silent since a takeover was declared lost 14 s later, and seemed to be
 // lost together with every worker that a task had crashed meanwhile. A worker counts as lost from when two
 // consecutive commands went unanswered, unless it was seen after that.
-func TestMissed(t *testing.T) {
+func TestTimeOfUnansweredCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := workerOf(&fleet.Worker{})
 		w.failures = 1
 		fail := func() {
 			time.Sleep(time.Second)
 			w.failures++
-			w.noteMissed()
+			w.recordMissed()
 		}
 		fail()
 		first := w.missedAt
@@ -54,7 +54,7 @@
 		quicktest.Check(t, w.missedAt, quicktest.Equals, first, quicktest.Commentf("a single answer may be lost"))
 		fail()
 		quicktest.Check(t, time.Since(w.missedAt), quicktest.Equals, time.Duration(0))
-		w.lived(time.Now())
+		w.markAlive(time.Now())
 		fail()
 		quicktest.Check(t, time.Since(w.missedAt), quicktest.Equals, time.Duration(0), quicktest.Commentf("its record was renewed after the last miss"))
 	})
--- a/internal/scheduler/marks.go
+++ b/internal/scheduler/marks.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// marksKept is how many commits are remembered: a lease term commits every 15 to 300 ms, and records of workers
+// maxCommitMarks is how many commits are remembered: a lease term commits every 15 to 300 ms, and records of workers
 // are at most about 0.4 s old when read.
-const marksKept = 64
+const maxCommitMarks = 64
 
-// mark is a commit of the lease term. Rows with a higher version in the store were written after the commit
+// commitMark is a commit of the lease term. Rows with a higher version in the store were written after the commit
 // began.
-type mark struct {
+type commitMark struct {
 	version int64
 	began   time.Time
 }
 
 // marks are the newest commits, oldest first. With them a record's version tells when it was written more
 // exactly than the answers of the feed, which are 0.3 s apart.
-type marks []mark
+type marks []commitMark
 
 // add appends a commit.
 func (m *marks) add(version int64, began time.Time) {
-	if len(*m) >= marksKept {
+	if len(*m) >= maxCommitMarks {
 		*m = append((*m)[:0], (*m)[1:]...)
 	}
-	*m = append(*m, mark{version, began})
+	*m = append(*m, commitMark{version, began})
 }
 
-// before returns the time after which a row with the given version was written: the beginning of the newest
+// writtenAfter returns the time after which a row with the given version was written: the beginning of the newest
 // commit with a lower version. It is zero if none is known.
-func (m marks) before(version int64) time.Time {
+func (m marks) writtenAfter(version int64) time.Time {
 	for i := len(m) - 1; i >= 0; i-- {
 		if m[i].version < version {
 			return m[i].began
--- a/internal/scheduler/marks_test.go
+++ b/internal/scheduler/marks_test.go
@@ -9,10 +9,10 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// TestVersionsTellWhenARecordWasWritten: workers' records are read every 0.3 s, so a departure may have been
+// TestVersionBoundsTheAgeOfARecord: workers' records are read every 0.3 s, so a departure may have been
 // announced that long before. Its runs were stopped that much too early: with 1.8 s of notice 26 gangs of one
 // day would have ended in time. The record's version tells which commits of the lease term came before it.
-func TestVersionsTellWhenARecordWasWritten(t *testing.T) {
+func TestVersionBoundsTheAgeOfARecord(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name    string
@@ -38,7 +38,7 @@
 			record := w.Worker
 			record.Draining, record.Leaves, record.Version = true, 3*time.Second, c.version
 			h.mu.Lock()
-			h.addWorker(&record, second.Add(-300*ms))
+			h.applyWorkerRecord(&record, second.Add(-300*ms))
 			h.mu.Unlock()
 			h.ordering.Wait()
 			quicktest.Check(t, r.stopAsked.Sub(second), quicktest.Equals, c.stopsIn, quicktest.Commentf(c.name))
@@ -46,15 +46,15 @@
 	}
 }
 
-// TestOldMarksAreForgotten fails if the commits of a long lease term accumulate in memory.
-func TestOldMarksAreForgotten(t *testing.T) {
+// TestOldCommitMarksAreDropped fails if the commits of a long lease term accumulate in memory.
+func TestOldCommitMarksAreDropped(t *testing.T) {
 	var m marks
 	begin := time.Now()
-	for n := range int64(3 * marksKept) {
+	for n := range int64(3 * maxCommitMarks) {
 		m.add(n, begin.Add(time.Duration(n)))
 	}
-	quicktest.Check(t, m, quicktest.HasLen, marksKept)
-	quicktest.Check(t, m.before(2*marksKept), quicktest.Equals, time.Time{})
-	quicktest.Check(t, m.before(2*marksKept+1), quicktest.Equals, begin.Add(2*marksKept))
-	quicktest.Check(t, m.before(9*marksKept), quicktest.Equals, begin.Add(3*marksKept-1))
+	quicktest.Check(t, m, quicktest.HasLen, maxCommitMarks)
+	quicktest.Check(t, m.writtenAfter(2*maxCommitMarks), quicktest.Equals, time.Time{})
+	quicktest.Check(t, m.writtenAfter(2*maxCommitMarks+1), quicktest.Equals, begin.Add(2*maxCommitMarks))
+	quicktest.Check(t, m.writtenAfter(9*maxCommitMarks), quicktest.Equals, begin.Add(3*maxCommitMarks-1))
 }
--- a/internal/scheduler/outbreak.go
+++ b/internal/scheduler/outbreak.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// outbreakOver is how long after the last failure at once a failure burst lasts: as long as a worker that
+	// failureBurstDuration is how long after the last failure at once a failure burst lasts: as long as a worker that
 	// fails everything is quarantined.
-	outbreakOver = 8 * time.Second
-	// provenAfter is the age from which a running run has not failed at once. The poll of its worker, which
+	failureBurstDuration = 8 * time.Second
+	// healthyAfter is the age from which a running run has not failed at once. The poll of its worker, which
 	// waits for ends, would have reported a failure by then.
-	provenAfter = atOnceMost + 100*time.Millisecond
+	healthyAfter = immediateFailureMax + 100*time.Millisecond
 )
 
 // outbreak is a failure burst: a time in which unknown workers fail everything that they start. On a day with
@@ -35,26 +35,26 @@
 
 // active reports whether the burst lasts.
 func (o *outbreak) active(now time.Time) bool {
-	return !o.last.IsZero() && now.Sub(o.last) <= outbreakOver
+	return !o.last.IsZero() && now.Sub(o.last) <= failureBurstDuration
 }
 
 // proven reports whether the worker has a run that did not fail at once, placed since the given time and since
 // its last failure at once.
 func (w *workerState) proven(since, now time.Time) bool {
-	if w.soundSince.Before(since) {
+	if w.healthySince.Before(since) {
 		for _, r := range w.runs {
-			if !r.confirmed.IsZero() && now.Sub(r.confirmed) > provenAfter {
-				w.notFailed(r)
+			if !r.confirmed.IsZero() && now.Sub(r.confirmed) > healthyAfter {
+				w.recordHealthyRun(r)
 			}
 		}
 	}
-	return !w.soundSince.Before(since) && !w.soundSince.Before(w.failedAt)
+	return !w.healthySince.Before(since) && !w.healthySince.Before(w.immediateFailureAt)
 }
 
-// notFailed records that a run has not failed at once.
-func (c *conduct) notFailed(r *run) {
-	if r.placed.After(c.soundSince) && r.placed.After(c.failedAt) {
-		c.soundSince = r.placed
+// recordHealthyRun records that a run has not failed at once.
+func (c *workerHealth) recordHealthyRun(r *run) {
+	if r.placed.After(c.healthySince) && r.placed.After(c.immediateFailureAt) {
+		c.healthySince = r.placed
 	}
 }
 
--- a/internal/scheduler/owed.go
+++ b/internal/scheduler/owed.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// owedKept is how long the stop of a run on a lost worker is remembered: far longer than a command is in
+// pendingStopRetention is how long the stop of a run on a lost worker is remembered: far longer than a command is in
 // flight.
-const owedKept = time.Minute
+const pendingStopRetention = time.Minute
 
 // owedStops is what may still start on a worker that was declared lost.
 type owedStops struct {
-	stops map[*run]bool      // Runs whose stops the worker must accept before its leases are renewed.
-	open  map[*run]openStart // Runs whose stops a later incarnation must accept.
+	stops      map[*run]bool      // Runs whose stops the worker must accept before its leases are renewed.
+	openStarts map[*run]openStart // Runs whose stops a later incarnation must accept.
 }
 
-// oweStop records a pending stop for a run that was presumed ended when its worker's lease expired, if its
+// addPendingStop records a pending stop for a run that was presumed ended when its worker's lease expired, if its
 // start may still be executed. Renewing the lease would let it start, so no lease is renewed until the worker
 // has accepted the stop.
-func (h *shard) oweStop(w *workerState, r *run) {
+func (h *shard) addPendingStop(w *workerState, r *run) {
 	if r.ordered.IsZero() || !r.confirmed.IsZero() || !r.stopKnown.IsZero() {
 		return
 	}
@@ -31,21 +31,21 @@
 	}
 }
 
-// keepOwed keeps the pending stops of a worker that is declared lost, as it may return.
-func (h *shard) keepOwed(w *workerState, cause lossCause) {
+// keepPendingStops keeps the pending stops of a worker that is declared lost, as it may return.
+func (h *shard) keepPendingStops(w *workerState, cause lossCause) {
 	maps.DeleteFunc(h.owed, func(_ string, o owedStops) bool {
-		maps.DeleteFunc(o.stops, func(r *run, _ bool) bool { return time.Since(r.ordered) > owedKept })
-		maps.DeleteFunc(o.open, func(_ *run, o openStart) bool { return time.Since(o.sent) > openKept })
-		return len(o.stops)+len(o.open) == 0
+		maps.DeleteFunc(o.stops, func(r *run, _ bool) bool { return time.Since(r.ordered) > pendingStopRetention })
+		maps.DeleteFunc(o.openStarts, func(_ *run, o openStart) bool { return time.Since(o.sent) > openStartRetention })
+		return len(o.stops)+len(o.openStarts) == 0
 	})
-	if len(w.owed)+len(w.open) > 0 && !cause.proves() {
-		h.owed[w.ID] = owedStops{w.owed, w.open}
+	if len(w.owed)+len(w.openStarts) > 0 && !cause.proves() {
+		h.owed[w.ID] = owedStops{w.owed, w.openStarts}
 	}
 }
 
-// takeOwed restores the pending stops of a worker that has returned.
-func (h *shard) takeOwed(w *workerState) {
-	w.owed, w.open = h.owed[w.ID].stops, h.owed[w.ID].open
+// restorePendingStops restores the pending stops of a worker that has returned.
+func (h *shard) restorePendingStops(w *workerState) {
+	w.owed, w.openStarts = h.owed[w.ID].stops, h.owed[w.ID].openStarts
 	delete(h.owed, w.ID)
 	for r := range w.owed {
 		h.ordering.Go(func() { h.sendStop(w, r) })
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -14,16 +14,16 @@
 func (h *shard) takeReport(w *workerState, report *fleet.Report, m sentMark, acknowledged int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.takeLife(w, report, m) {
+	if !h.trackReporter(w, report, m) {
 		h.takeFormerEnds(w, report)
 		return false
 	}
-	h.noteReported(w, report)
+	h.logReturnByReport(w, report)
 	if !w.isOld(m) {
 		w.told = max(w.told, acknowledged)
 	}
-	if w.gone || report.Clock < w.reported {
-		h.notePassedOver(w, report)
+	if w.gone || report.Clock < w.reportClock {
+		h.recordOutdated(w, report)
 		// The rest is outdated: the worker was declared lost while the report was in flight, or a newer one has
 		// overtaken it.
 		h.takeEnds(w, report)
@@ -36,59 +36,59 @@
 	}
 	w.heard(report.Clock)
 	h.tookOrder(w)
-	w.reported, w.passedOver = report.Clock, passedOver{}
+	w.reportClock, w.passedOver = report.Clock, outdatedReports{}
 	w.failures, w.lookedAt = 0, time.Now()
 	h.charge(h.losses.Returned(w.life))
-	listed := present(report)
+	listed := listedRuns(report)
 	if !report.More {
-		h.endFormer(w, listed, m)
+		h.endEarlierRuns(w, listed, m)
 	}
 	for i := range report.Running {
 		h.seen(w, &report.Running[i])
 	}
 	h.takeEnds(w, report)
 	if !report.More {
-		h.settleAbsent(w, listed, m.at)
+		h.endAbsent(w, listed, m.at)
 	}
 	now := time.Now()
 	h.endStalls(w, now)
-	h.endLagging(w, now)
-	h.endLeaving(w, now)
+	h.handleSlowMembers(w, now)
+	h.restartLostWork(w, now)
 	w.stalled, w.overdue = h.stalls(w), h.overdue(w, now)
 	h.signal()
 	return w.applied > w.acknowledged
 }
 
-// passedOver counts a worker's consecutive reports that were outdated, because their clock was behind. Only
+// outdatedReports counts a worker's consecutive reports that were outdated, because their clock was behind. Only
 // their ends were applied. The zero value is none.
-type passedOver struct {
+type outdatedReports struct {
 	since  time.Time
 	logged time.Time
 	count  int
 }
 
-// passedOverLogEvery is the interval of the log lines on outdated reports. A single report that another has
+// outdatedLogInterval is the interval of the log lines on outdated reports. A single report that another has
 // overtaken is not logged.
-const passedOverLogEvery = 2 * time.Second
+const outdatedLogInterval = 2 * time.Second
 
-// notePassedOver records an outdated report of which only the ends are applied.
-func (h *shard) notePassedOver(w *workerState, report *fleet.Report) {
+// recordOutdated records an outdated report of which only the ends are applied.
+func (h *shard) recordOutdated(w *workerState, report *fleet.Report) {
 	h.Figures.Count("reports_passed_over")
 	p, now := &w.passedOver, time.Now()
 	if p.count++; p.count == 1 {
 		p.since, p.logged = now, now
 	}
-	if now.Sub(p.logged) < passedOverLogEvery {
+	if now.Sub(p.logged) < outdatedLogInterval {
 		return
 	}
 	p.logged = now
 	h.Log.Warn("scheduler: reports of a worker are outdated; applying only the ends in them", zap.Inline(w.life), zap.Int("reports", p.count), zap.Duration("since", now.Sub(p.since)),
-		zap.Int64("clock", report.Clock), zap.Int64("newest_clock", w.reported), zap.Bool("gone", w.gone), zap.Int("followed", len(w.runs)),
-		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)), zap.Int64("last_taken", w.applied), zap.Strings("has", namesOf(report)), h.beliefOf(w))
+		zap.Int64("clock", report.Clock), zap.Int64("newest_clock", w.reportClock), zap.Bool("gone", w.gone), zap.Int("followed", len(w.runs)),
+		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)), zap.Int64("last_taken", w.applied), zap.Strings("has", runNames(report)), h.beliefOf(w))
 }
 
-// present returns the newest run of each task that a report lists, running or ended.
-func present(report *fleet.Report) map[job.Task]int {
+// listedRuns returns the newest run of each task that a report lists, running or ended.
+func listedRuns(report *fleet.Report) map[job.Task]int {
 	runs := map[job.Task]int{}
 	for i := range report.Running {
 		runs[report.Running[i].Task] = report.Running[i].Run
@@ -104,7 +104,7 @@
 func (h *shard) seen(w *workerState, x *fleet.Run) {
 	r := w.runs[x.Task]
 	if r == nil || r.number != x.Run {
-		h.stray(w, x)
+		h.stopOrphan(w, x)
 		return
 	}
 	if r.confirmed.IsZero() {
@@ -115,15 +115,15 @@
 		r.held.stale = true
 		h.learnEarly(r)
 	}
-	h.clear(w, r)
+	h.clearImmediateLosses(w, r)
 	r.job.Save(x.Task, x.Run, x.Saved)
 	if r.job.Progress.State.Final() {
 		h.stop(w, r, "the job has ended")
 	}
 }
 
-// stray stops an orphaned run: one that nobody placed or that was presumed ended.
-func (h *shard) stray(w *workerState, x *fleet.Run) {
+// stopOrphan stops an orphaned run: one that nobody placed or that was presumed ended.
+func (h *shard) stopOrphan(w *workerState, x *fleet.Run) {
 	p, ok := h.jobTask(x.Task)
 	if ok && p.State == job.Finished && p.Run == x.Run {
 		return // A gang's member whose end will be listed soon.
@@ -131,17 +131,17 @@
 	r := &run{life: w.life, task: x.Task, number: x.Run, confirmed: time.Now(), placed: time.Now(), job: h.jobs[x.Task.Job], stray: true}
 	if !ok || w.runs[x.Task] != nil {
 		h.Log.Warn("scheduler: worker reports an untracked run; stopping it", zap.String("task", x.Task.String()), zap.Int("run", x.Run), zap.Inline(w.life))
-		h.stopUnfollowed(w, x.Task, x.Run)
+		h.stopUntracked(w, x.Task, x.Run)
 		return
 	}
 	r.each = r.job.Request.Steps[x.Task.Step].Each
 	h.addRun(w, r)
-	r.job.stray(r.task, 1)
+	r.job.countOrphan(r.task, 1)
 	h.stop(w, r, "nobody placed it here")
 }
 
-// stopUnfollowed sends a stop for a run that is not tracked, without a retry.
-func (h *shard) stopUnfollowed(w *workerState, t job.Task, number int) {
+// stopUntracked sends a stop for a run that is not tracked, without a retry.
+func (h *shard) stopUntracked(w *workerState, t job.Task, number int) {
 	order, target := &fleet.Stop{Task: t, Run: number, Token: h.tenure.Epoch()}, w.target()
 	h.ordering.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, answerTimeout)
@@ -152,9 +152,9 @@
 	})
 }
 
-// stray changes the number of a task's orphaned runs: not tracked, and either running or possibly about to
+// countOrphan changes the number of a task's orphaned runs: not tracked, and either running or possibly about to
 // start.
-func (j *liveJob) stray(t job.Task, change int) {
+func (j *liveJob) countOrphan(t job.Task, change int) {
 	if j.strays == nil {
 		j.strays = map[job.Task]int{}
 	}
@@ -171,10 +171,10 @@
 	return j.Task(t)
 }
 
-// settleAbsent ends the tracked runs that a worker does not have and can't start any more. These are runs whose
+// endAbsent ends the tracked runs that a worker does not have and can't start any more. These are runs whose
 // stop it has accepted, runs that it had before, and a predecessor's runs: their commands are refused since the
 // worker has seen this lease term's token.
-func (h *shard) settleAbsent(w *workerState, present map[job.Task]int, sent time.Time) {
+func (h *shard) endAbsent(w *workerState, present map[job.Task]int, sent time.Time) {
 	for task, r := range w.runs {
 		if present[task] == r.number {
 			continue
--- a/internal/scheduler/sight.go
+++ b/internal/scheduler/sight.go
@@ -11,69 +11,69 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// belief is the state of a worker as last observed, for logs of the moment in which its runs are presumed
+// observedState is the state of a worker as last observed, for logs of the moment in which its runs are presumed
 // ended.
-type belief struct {
-	Answered  time.Duration // Since its last answer; negative if there was none.
-	Beat      time.Duration // Since it surely lived last, by its record; negative if unknown.
-	LeaseLeft time.Duration // Until its lease has surely expired; negative once it has.
+type observedState struct {
+	AnsweredAgo time.Duration // Since its last answer; negative if there was none.
+	AliveAgo    time.Duration // Since it surely lived last, by its record; negative if unknown.
+	LeaseLeft   time.Duration // Until its lease has surely expired; negative once it has.
 	// It accepted a command of this lease term, so no predecessor renews its lease.
-	Own      bool
-	Listed   bool
-	Unlisted time.Duration // How long its record has been missing.
-	Draining bool
-	HungUp   bool
-	Failures int
+	LeaseOwn         bool
+	Listed           bool
+	UnlistedFor      time.Duration // How long its record has been missing.
+	Draining         bool
+	ConnectionClosed bool
+	Failures         int
 }
 
-// belief returns the worker's state as last observed.
-func (w *workerState) belief(now time.Time) *belief {
-	b := &belief{
-		Answered: -1, Beat: -1, LeaseLeft: w.leases.over.Sub(now), Own: w.leases.own,
-		Listed: w.listed, Draining: w.Draining, HungUp: w.hungUp, Failures: w.failures,
+// observedState returns the worker's state as last observed.
+func (w *workerState) observedState(now time.Time) *observedState {
+	b := &observedState{
+		AnsweredAgo: -1, AliveAgo: -1, LeaseLeft: w.leases.over.Sub(now), LeaseOwn: w.leases.own,
+		Listed: w.listed, Draining: w.Draining, ConnectionClosed: w.connectionClosed, Failures: w.failures,
 	}
 	if !w.clockAt.IsZero() {
-		b.Answered = now.Sub(w.clockAt)
+		b.AnsweredAgo = now.Sub(w.clockAt)
 	}
-	if !w.beatAt.IsZero() {
-		b.Beat = now.Sub(w.beatAt)
+	if !w.aliveAt.IsZero() {
+		b.AliveAgo = now.Sub(w.aliveAt)
 	}
 	if !w.listed {
-		b.Unlisted = now.Sub(w.unlisted)
+		b.UnlistedFor = now.Sub(w.unlistedAt)
 	}
 	return b
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (b *belief) MarshalLogObject(e zapcore.ObjectEncoder) error {
-	if b.Answered >= 0 {
-		e.AddDuration("answered_ago", b.Answered)
+func (b *observedState) MarshalLogObject(e zapcore.ObjectEncoder) error {
+	if b.AnsweredAgo >= 0 {
+		e.AddDuration("answered_ago", b.AnsweredAgo)
 	}
-	if b.Beat >= 0 {
-		e.AddDuration("beat_ago", b.Beat)
+	if b.AliveAgo >= 0 {
+		e.AddDuration("beat_ago", b.AliveAgo)
 	}
 	e.AddDuration("lease_left", b.LeaseLeft)
-	e.AddBool("lease_own", b.Own)
+	e.AddBool("lease_own", b.LeaseOwn)
 	e.AddBool("listed", b.Listed)
 	if !b.Listed {
-		e.AddDuration("unlisted_for", b.Unlisted)
+		e.AddDuration("unlisted_for", b.UnlistedFor)
 	}
 	e.AddBool("draining", b.Draining)
-	e.AddBool("hung_up", b.HungUp)
+	e.AddBool("hung_up", b.ConnectionClosed)
 	e.AddInt("failures", b.Failures)
 	return nil
 }
 
 // beliefOf returns the log field with a worker's state as last observed.
 func (h *shard) beliefOf(w *workerState) zap.Field {
-	return zap.Object("belief", w.belief(time.Now()))
+	return zap.Object("belief", w.observedState(time.Now()))
 }
 
 // runKey identifies a run on an incarnation of a worker.
 type runKey struct {
-	task   job.Task
-	number int
-	life   life.ID
+	task        job.Task
+	number      int
+	incarnation life.ID
 }
 
 // givenUp records that a worker's runs were presumed ended, without a report of the worker.
@@ -86,31 +86,31 @@
 }
 
 const (
-	// givenUpKept is how long runs presumed ended are remembered: far longer than any lease.
-	givenUpKept = 5 * time.Minute
-	// givenUpMost limits the remembered workers, and the remembered runs of each job. A site has fewer workers.
-	givenUpMost = 4096
+	// presumedLossRetention is how long runs presumed ended are remembered: far longer than any lease.
+	presumedLossRetention = 5 * time.Minute
+	// presumedLossLimit limits the remembered workers, and the remembered runs of each job. A site has fewer workers.
+	presumedLossLimit = 4096
 )
 
-// noteGivenUp records that runs on an incarnation of a worker were presumed ended.
-func (h *shard) noteGivenUp(l life.ID, given []*run, cause lossCause) {
+// recordPresumedEnded records that runs on an incarnation of a worker were presumed ended.
+func (h *shard) recordPresumedEnded(l life.ID, given []*run, cause lossCause) {
 	if len(given) == 0 {
 		return
 	}
 	now := time.Now()
-	maps.DeleteFunc(h.givenUp, func(_ life.ID, g *givenUp) bool { return now.Sub(g.at) > givenUpKept })
-	if len(h.givenUp) < givenUpMost {
+	maps.DeleteFunc(h.givenUp, func(_ life.ID, g *givenUp) bool { return now.Sub(g.at) > presumedLossRetention })
+	if len(h.givenUp) < presumedLossLimit {
 		h.givenUp[l] = &givenUp{at: now, cause: cause, runs: len(given)}
 	}
 	for _, r := range given {
-		r.job.noteGivenUp(l, r, now)
+		r.job.recordPresumedEnded(l, r, now)
 	}
 }
 
-// noteGivenUp records that a run was presumed ended, except for lasting tasks, which are restarted however they
+// recordPresumedEnded records that a run was presumed ended, except for lasting tasks, which are restarted however they
 // end.
-func (j *liveJob) noteGivenUp(l life.ID, r *run, now time.Time) {
-	if j.Request.Steps[r.task.Step].Lasting || len(j.givenUp) >= givenUpMost {
+func (j *liveJob) recordPresumedEnded(l life.ID, r *run, now time.Time) {
+	if j.Request.Steps[r.task.Step].Lasting || len(j.givenUp) >= presumedLossLimit {
 		return
 	}
 	if j.givenUp == nil {
@@ -119,21 +119,21 @@
 	j.givenUp[runKey{r.task, r.number, l}] = now
 }
 
-// noteReported logs the first report of a worker whose runs were presumed ended.
-func (h *shard) noteReported(w *workerState, report *fleet.Report) {
+// logReturnByReport logs the first report of a worker whose runs were presumed ended.
+func (h *shard) logReturnByReport(w *workerState, report *fleet.Report) {
 	g := h.givenUp[w.life]
 	if g == nil || g.reported {
 		return
 	}
 	first := !g.recorded
 	g.reported = true
-	h.logBack(w.life, g, first, zap.String("by", "report"), zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)),
-		zap.Strings("has", namesOf(report)))
+	h.logReturn(w.life, g, first, zap.String("by", "report"), zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)),
+		zap.Strings("has", runNames(report)))
 }
 
-// noteRecorded logs the first record of a worker whose runs were presumed ended. Written means that the worker
+// logReturnByRecord logs the first record of a worker whose runs were presumed ended. Written means that the worker
 // has just written it; otherwise it may be an old one.
-func (h *shard) noteRecorded(l life.ID, written bool) {
+func (h *shard) logReturnByRecord(l life.ID, written bool) {
 	g := h.givenUp[l]
 	if g == nil || g.recorded || g.cause == leasesOver && !written {
 		return
@@ -143,10 +143,10 @@
 	}
 	first := !g.reported
 	g.recorded = true
-	h.logBack(l, g, first, zap.String("by", "record"))
+	h.logReturn(l, g, first, zap.String("by", "record"))
 }
 
-func (h *shard) logBack(l life.ID, g *givenUp, first bool, fields ...zap.Field) {
+func (h *shard) logReturn(l life.ID, g *givenUp, first bool, fields ...zap.Field) {
 	if first {
 		h.Figures.Count("workers_back")
 	}
@@ -154,11 +154,11 @@
 		zap.Stringer("why", g.cause), zap.Int("runs_given_up", g.runs))...)
 }
 
-// namesMost limits the names in a log line.
-const namesMost = 16
+// maxLoggedNames limits the names in a log line.
+const maxLoggedNames = 16
 
-// namesOf returns the names of the first runs that a report lists, with the outcomes of those that ended.
-func namesOf(report *fleet.Report) []string {
+// runNames returns the names of the first runs that a report lists, with the outcomes of those that ended.
+func runNames(report *fleet.Report) []string {
 	var names []string
 	for i := range report.Running {
 		names = append(names, report.Running[i].Task.String())
@@ -166,57 +166,57 @@
 	for i := range report.Ended {
 		names = append(names, report.Ended[i].Task.String()+" "+report.Ended[i].Outcome.String())
 	}
-	return names[:min(len(names), namesMost)]
+	return names[:min(len(names), maxLoggedNames)]
 }
 
-// unfollowed is the reason why a reported end belongs to no tracked run.
-type unfollowed int
+// untrackedReason is the reason why a reported end belongs to no tracked run.
+type untrackedReason int
 
 const (
-	unknownJob unfollowed = iota
+	unknownJob untrackedReason = iota
 	unknownTask
-	runGivenUp // The run was presumed ended.
-	runKnown   // It is the task's last run there, and its end is known.
-	otherRun   // The task's last run is another one or is on another worker.
+	runPresumedEnded // The run was presumed ended.
+	runEndKnown      // It is the task's last run there, and its end is known.
+	otherRun         // The task's last run is another one or is on another worker.
 )
 
 // String returns the reason for logs.
-func (u unfollowed) String() string {
+func (u untrackedReason) String() string {
 	return [...]string{"no such job", "no such task", "the run was given up", "the run's end is known", "another run is the last"}[u]
 }
 
-// name returns the reason as part of a metric's name.
-func (u unfollowed) name() string {
+// metricName returns the reason as part of a metric's name.
+func (u untrackedReason) metricName() string {
 	return [...]string{"unknown_job", "unknown_task", "given_up", "known", "other_run"}[u]
 }
 
 // unfollowedEnd is the reported end of a run that is not tracked, for logs.
-type unfollowedEnd struct {
+type untrackedEnd struct {
 	*fleet.End
-	Worker *workerState
-	Life   life.ID // The incarnation that reported it.
-	Why    unfollowed
-	Stood  job.TaskProgress // The task's progress before.
-	Back   *givenUp         // Set if the worker's runs were presumed ended before.
-	Counts bool             // It changed the job's progress.
+	Worker       *workerState
+	Incarnation  life.ID // The incarnation that reported it.
+	Why          untrackedReason
+	TaskBefore   job.TaskProgress // The task's progress before.
+	PresumedLoss *givenUp         // Set if the worker's runs were presumed ended before.
+	Counts       bool             // It changed the job's progress.
 }
 
-func (h *shard) unfollowedEnd(w *workerState, l life.ID, e *fleet.End) *unfollowedEnd {
-	u := &unfollowedEnd{End: e, Worker: w, Life: l, Back: h.givenUp[l]}
+func (h *shard) unfollowedEnd(w *workerState, l life.ID, e *fleet.End) *untrackedEnd {
+	u := &untrackedEnd{End: e, Worker: w, Incarnation: l, PresumedLoss: h.givenUp[l]}
 	j := h.jobs[e.Task.Job]
 	if j == nil {
 		return u
 	}
 	known := false
-	u.Stood, known = j.Task(e.Task)
+	u.TaskBefore, known = j.Task(e.Task)
 	_, lost := j.givenUp[runKey{e.Task, e.Run, l}]
 	switch {
 	case !known:
 		u.Why = unknownTask
 	case lost:
-		u.Why = runGivenUp
-	case u.Stood.Run == e.Run && u.Stood.Worker.Is(l):
-		u.Why = runKnown
+		u.Why = runPresumedEnded
+	case u.TaskBefore.Run == e.Run && u.TaskBefore.Worker.Is(l):
+		u.Why = runEndKnown
 	default:
 		u.Why = otherRun
 	}
@@ -224,19 +224,19 @@
 }
 
 // noteUnfollowed logs and counts the end of a run that is not tracked.
-func (h *shard) noteUnfollowed(u *unfollowedEnd) {
-	h.Figures.Count("ends_unfollowed_" + u.Why.name())
+func (h *shard) noteUnfollowed(u *untrackedEnd) {
+	h.Figures.Count("ends_unfollowed_" + u.Why.metricName())
 	if u.Counts {
 		h.Figures.Count("ends_unfollowed_counted")
 	}
 	fields := []zap.Field{
 		zap.String("task", u.Task.String()), zap.Int("run", u.Run), zap.Stringer("outcome", u.Outcome), zap.Bool("counts", u.Counts),
-		zap.Int64("number", u.Number), zap.Inline(u.Life), zap.Stringer("why", u.Why), zap.Int64("last_taken", u.Worker.applied),
+		zap.Int64("number", u.Number), zap.Inline(u.Incarnation), zap.Stringer("why", u.Why), zap.Int64("last_taken", u.Worker.applied),
 		zap.Int64("told", u.Worker.told), zap.Bool("gone", u.Worker.gone),
-		zap.Stringer("task_state", u.Stood.State), zap.Int("task_run", u.Stood.Run), zap.Stringer("task_worker", u.Stood.Worker),
+		zap.Stringer("task_state", u.TaskBefore.State), zap.Int("task_run", u.TaskBefore.Run), zap.Stringer("task_worker", u.TaskBefore.Worker),
 	}
-	if u.Back != nil {
-		fields = append(fields, zap.Duration("given_up_ago", time.Since(u.Back.at)), zap.Stringer("given_up_for", u.Back.cause))
+	if u.PresumedLoss != nil {
+		fields = append(fields, zap.Duration("given_up_ago", time.Since(u.PresumedLoss.at)), zap.Stringer("given_up_for", u.PresumedLoss.cause))
 	}
 	h.Log.Info("scheduler: worker reported the end of a run that is not tracked", fields...)
 }
--- a/internal/scheduler/sight_test.go
+++ b/internal/scheduler/sight_test.go
@@ -13,10 +13,10 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// TestReturnOfWorkerIsTold fails if the logs and metrics don't show that a worker has returned whose runs were
+// TestReturnOfWorkerIsLogged fails if the logs and metrics don't show that a worker has returned whose runs were
 // presumed ended. Without them nobody can tell whether a task ran twice because its worker was declared lost
 // too early.
-func TestReturnOfWorkerIsTold(t *testing.T) {
+func TestReturnOfWorkerIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := keptShard()
 		core, seen := observer.New(zap.InfoLevel)
@@ -25,7 +25,7 @@
 		h.addJob(&job.Request{ID: "j", Steps: []job.Step{{Count: 1}}, Terms: job.Terms{Attempts: 2}}, nil)
 		now := time.Now()
 		w := workerOf(&fleet.Worker{ID: "w", Draining: true})
-		w.since, w.clock, w.clockAt = now, 1, now
+		w.knownSince, w.clock, w.clockAt = now, 1, now
 		w.leases = leases{own: true, over: now.Add(time.Minute)}
 		h.workers["w"] = w
 		time.Sleep(2 * time.Second)
@@ -48,7 +48,7 @@
 		quicktest.Check(t, h.Figures.Counted("workers_back"), quicktest.Equals, int64(1))
 		ends := seen.FilterMessage("scheduler: worker reported the end of a run that is not tracked").All()
 		quicktest.Assert(t, ends, quicktest.HasLen, 1)
-		quicktest.Check(t, ends[0].ContextMap()["why"], quicktest.Equals, runGivenUp.String())
+		quicktest.Check(t, ends[0].ContextMap()["why"], quicktest.Equals, runPresumedEnded.String())
 		quicktest.Check(t, h.Figures.Counted("ends_unfollowed_given_up"), quicktest.Equals, int64(1))
 	})
 }
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -17,13 +17,13 @@
 
 // endedLife is an incarnation that has ended, and when that was found.
 type endedLife struct {
-	life life.ID
-	at   time.Time
+	incarnation life.ID
+	at          time.Time
 }
 
-// judgeSilence presumes the runs of a silent worker ended once its leases have surely expired. A missing
+// checkSilence presumes the runs of a silent worker ended once its leases have surely expired. A missing
 // record, a closed connection or a refused one is not enough, as workers that still live show these too.
-func (h *shard) judgeSilence(w *workerState) {
+func (h *shard) checkSilence(w *workerState) {
 	if w.gone || w.failures == 0 && w.listed {
 		return
 	}
@@ -45,23 +45,23 @@
 	h.loseRuns(w, leasesOver)
 }
 
-// endedLifeKept is how long an ended incarnation is remembered: its record is gone long before.
-const endedLifeKept = time.Minute
+// endedIncarnationRetention is how long an ended incarnation is remembered: its record is gone long before.
+const endedIncarnationRetention = time.Minute
 
 // hasEnded reports whether a record is of an ended incarnation, as records remain for some seconds.
 func (h *shard) hasEnded(l life.ID) bool {
 	e, known := h.lives[l.Worker]
-	return known && !l.Follows(e.life) && time.Since(e.at) <= endedLifeKept
+	return known && !l.Follows(e.incarnation) && time.Since(e.at) <= endedIncarnationRetention
 }
 
-// endLife declares a worker lost, because another incarnation answers at its address.
-func (h *shard) endLife(w *workerState) {
+// endIncarnation declares a worker lost, because another incarnation answers at its address.
+func (h *shard) endIncarnation(w *workerState) {
 	if w.gone {
 		return
 	}
-	maps.DeleteFunc(h.lives, func(_ string, e endedLife) bool { return time.Since(e.at) > endedLifeKept })
+	maps.DeleteFunc(h.lives, func(_ string, e endedLife) bool { return time.Since(e.at) > endedIncarnationRetention })
 	h.lives[w.ID] = endedLife{w.life, time.Now()}
-	h.loseWorker(w, otherLife)
+	h.loseWorker(w, otherIncarnation)
 	h.changed = true
 	h.signal()
 }
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -28,16 +28,16 @@
 	return h, w
 }
 
-// TestSignsThatNothingPromises: a worker was declared lost once it had closed a connection and refused the next
+// TestSilentWorkerKeepsRunsUntilLeaseExpires: a worker was declared lost once it had closed a connection and refused the next
 // one, or had no record and did not answer, or had announced its departure and had no record. Living workers
 // show these signs too: behind a closed proxy, with an expired record, or serving on after their departure.
 // Their runs started elsewhere while they still ran. Only an answer of another incarnation may end a run before
 // its lease has surely expired.
-func TestSignsThatNothingPromises(t *testing.T) {
-	look := func(h *shard, w *workerState) { h.lookFailed(w, w.mark(), fleet.ErrHungUp) }
+func TestSilentWorkerKeepsRunsUntilLeaseExpires(t *testing.T) {
+	look := func(h *shard, w *workerState) { h.pollFailed(w, w.mark(), fleet.ErrHungUp) }
 	start := func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrHungUp, "start") }
 	refused := func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrNotListening, "look") }
-	silent := func(h *shard, w *workerState) { h.lookFailed(w, w.mark(), fleet.ErrNoAnswer) }
+	silent := func(h *shard, w *workerState) { h.pollFailed(w, w.mark(), fleet.ErrNoAnswer) }
 	unlisted := func(h *shard, w *workerState) { h.unlist(w.ID, false, time.Now()) }
 	due := func(_ *shard, w *workerState) { w.Draining, w.leavesAt = true, time.Now().Add(-time.Millisecond) }
 	moved := func(_ *shard, w *workerState) { w.home, w.Address = "10.0.0.1:80", "10.0.0.2:80" }
@@ -65,23 +65,23 @@
 			for _, step := range c.steps {
 				step(h, w)
 			}
-			h.judgeSilence(w)
+			h.checkSilence(w)
 			quicktest.Check(t, len(w.runs) == 0, quicktest.Equals, c.ended, quicktest.Commentf(c.name))
 			time.Sleep(h.Bounds.lease(false)) // By our clock; the worker's may be slower.
-			h.judgeSilence(w)
+			h.checkSilence(w)
 			quicktest.Check(t, len(w.runs) == 0, quicktest.Equals, c.ended, quicktest.Commentf("%s, a lease later", c.name))
 			time.Sleep(slowed(h.Bounds.lease(false)) + h.Bounds.endsWithin())
-			h.judgeSilence(w)
+			h.checkSilence(w)
 			quicktest.Check(t, w.runs, quicktest.HasLen, 0, quicktest.Commentf("%s, when its lease has expired", c.name))
 		})
 	}
 }
 
-// TestLeasesOfAPredecessor: a box that was replaced without noticing it renewed the leases of a worker that its
+// TestLeasesOfAPredecessorAreCounted: a box that was replaced without noticing it renewed the leases of a worker that its
 // successor could not reach. The successor counted these leases only from its own beginning. A lease term
 // renews leases for a limited time after its last commit. A successor must allow for that time until the worker
 // has accepted one of its commands.
-func TestLeasesOfAPredecessor(t *testing.T) {
+func TestLeasesOfAPredecessorAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, w := silentShard()
 		before.held = time.Now()
@@ -103,10 +103,10 @@
 	})
 }
 
-// TestNothingStartsBesideAStrayRun: an orphaned run, which had been presumed ended, is being stopped. Its task
+// TestNothingStartsBesideAnOrphanedRun: an orphaned run, which had been presumed ended, is being stopped. Its task
 // could start elsewhere meanwhile. On the same worker the new run replaced the old one, whose resources were
 // never freed.
-func TestNothingStartsBesideAStrayRun(t *testing.T) {
+func TestNothingStartsBesideAnOrphanedRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := silentShard()
 		w.Address = "" // Without an address no stop is sent, as there are no commands here.
@@ -123,9 +123,9 @@
 	})
 }
 
-// TestAStartRenewsALease fails if the lease in a start command, which covers all runs of the worker as that in
+// TestStartRenewsTheLease fails if the lease in a start command, which covers all runs of the worker as that in
 // a poll does, is not counted in the expiry of the worker's leases.
-func TestAStartRenewsALease(t *testing.T) {
+func TestStartRenewsTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := silentShard()
 		h.tenure = &ledger.Tenure{}
@@ -136,9 +136,9 @@
 	})
 }
 
-// TestALookFromBeforeTellsNothingOfARun: a report answers a poll that was sent before a run was known to be
+// TestEarlierPollDoesNotEndARun: a report answers a poll that was sent before a run was known to be
 // there, or before its stop was accepted. That this report lacks the run and its end must not end it.
-func TestALookFromBeforeTellsNothingOfARun(t *testing.T) {
+func TestEarlierPollDoesNotEndARun(t *testing.T) {
 	for _, known := range []func(r *run){
 		func(r *run) { r.confirmed = time.Now() },
 		func(r *run) { r.stopKnown = time.Now() },
--- a/internal/scheduler/stray_test.go
+++ b/internal/scheduler/stray_test.go
@@ -10,10 +10,10 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// TestAStrayIsNoPartOfItsGang: a gang restarted after one of its members was presumed ended, and that member
+// TestOrphanedRunIsNotInItsGang: a gang restarted after one of its members was presumed ended, and that member
 // was found still running. It was added to the present members, so that the whole gang counted as being stopped
 // for as long as it ran. Its members were neither restarted nor stopped on a leaving worker.
-func TestAStrayIsNoPartOfItsGang(t *testing.T) {
+func TestOrphanedRunIsNotInItsGang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, lost := silentShard()
 		other := workerOf(&fleet.Worker{ID: "v", Capacity: job.Resources{Accelerators: 8}})
--- a/internal/scheduler/talk.go
+++ b/internal/scheduler/talk.go
@@ -13,22 +13,22 @@
 
 // contact is the state of the communication with a worker: its clock and how it answers.
 type contact struct {
-	clock      int64     // The worker's clock at clockAt; 0 before the first answer.
-	clockAt    time.Time // When that answer arrived.
-	newest     int64     // The highest clock in any answer.
-	reported   int64     // The clock in the newest report.
-	passedOver passedOver
-	lookedAt   time.Time     // When the last poll was answered.
-	patient    bool          // A poll with a long timeout is in flight.
-	endLook    func()        // Cancels the regular poll in flight.
-	answerTime time.Duration // How much longer than its wait the last poll took.
+	clock       int64     // The worker's clock at clockAt; 0 before the first answer.
+	clockAt     time.Time // When that answer arrived.
+	newestClock int64     // The highest clock in any answer.
+	reportClock int64     // The clock in the newest report.
+	passedOver  outdatedReports
+	lookedAt    time.Time     // When the last poll was answered.
+	patientPoll bool          // A poll with a long timeout is in flight.
+	cancelPoll  func()        // Cancels the regular poll in flight.
+	answerDelay time.Duration // How much longer than its wait the last poll took.
 	// Where it accepted its first command of this lease term, or where the predecessor reached it.
-	home        string
-	failures    int       // Consecutive commands without an answer.
-	missedAt    time.Time // When missedMost consecutive commands had gone unanswered.
-	backAt      time.Time // When it answered again after failures.
-	hungUp      bool      // It closed a connection and has not answered since; for logs.
-	silentSince time.Time // When its leases were found to have expired.
+	home             string
+	failures         int       // Consecutive commands without an answer.
+	missedAt         time.Time // When minMissed consecutive commands had gone unanswered.
+	backAt           time.Time // When it answered again after failures.
+	connectionClosed bool      // It closed a connection and has not answered since; for logs.
+	silentSince      time.Time // When its leases were found to have expired.
 }
 
 // waker interrupts a pause of the poll loop. It is read without a lock, so it stays the same for all
@@ -49,15 +49,15 @@
 	if clock == 0 {
 		return
 	}
-	c.clock, c.clockAt, c.hungUp = clock, time.Now(), false
-	c.newest = max(c.newest, clock)
+	c.clock, c.clockAt, c.connectionClosed = clock, time.Now(), false
+	c.newestClock = max(c.newestClock, clock)
 }
 
-// talk polls a worker until it is declared lost, and pauses while there is nothing to poll.
-func (h *shard) talk(w *workerState) {
-	pause := lookRetry
+// pollLoop polls a worker until it is declared lost, and pauses while there is nothing to poll.
+func (h *shard) pollLoop(w *workerState) {
+	pause := pollRetry
 	for h.ctx.Err() == nil {
-		next := h.nextLook(w)
+		next := h.nextPoll(w)
 		if next.gone {
 			return
 		}
@@ -65,9 +65,9 @@
 			interval.SleepOrWoken(h.ctx, idlePause, w.wake)
 			continue
 		}
-		look := &next.look
-		ctx, cancel := context.WithTimeout(h.ctx, next.within)
-		h.setLooking(w, next.mark, cancel)
+		look := &next.poll
+		ctx, cancel := context.WithTimeout(h.ctx, next.timeout)
+		h.setCancelPoll(w, next.mark, cancel)
 		report, err := h.Orders.Look(ctx, &next.target, look)
 		cancel()
 		if h.ctx.Err() != nil {
@@ -77,14 +77,14 @@
 			h.noteAnswer(err, time.Since(next.mark.at))
 		}
 		if err != nil {
-			h.lookFailed(w, next.mark, err)
-			h.lookPatiently(w)
-			h.pauseAfter(w, next.mark, h.untilOver(w, pause))
-			pause = min(2*pause, lookRetryMost)
+			h.pollFailed(w, next.mark, err)
+			h.pollPatiently(w)
+			h.pauseAfter(w, next.mark, h.capAtLeaseEnd(w, pause))
+			pause = min(2*pause, pollRetryMax)
 			continue
 		}
-		pause = lookRetry
-		h.noteLook(w, time.Since(next.mark.at)-look.Wait)
+		pause = pollRetry
+		h.recordPollDelay(w, time.Since(next.mark.at)-look.Wait)
 		if h.takeReport(w, &report, next.mark, look.Acknowledged) {
 			h.awaitCommit(w)
 		} else if look.Wait == 0 {
@@ -93,12 +93,12 @@
 	}
 }
 
-// setLooking registers the cancel function of the regular poll in flight. It cancels the poll at once if
+// setCancelPoll registers the cancel function of the regular poll in flight. It cancels the poll at once if
 // another incarnation has been tracked since the poll was prepared.
-func (h *shard) setLooking(w *workerState, m sentMark, end func()) {
+func (h *shard) setCancelPoll(w *workerState, m sentMark, end func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w.endLook = end
+	w.cancelPoll = end
 	if w.isOld(m) {
 		end()
 	}
@@ -120,15 +120,15 @@
 	}
 }
 
-// noteLook records how much longer than its wait a poll took.
-func (h *shard) noteLook(w *workerState, took time.Duration) {
+// recordPollDelay records how much longer than its wait a poll took.
+func (h *shard) recordPollDelay(w *workerState, took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w.answerTime = max(took, w.answerTime/2) // A poll that ended early tells nothing, so the value falls slowly.
+	w.answerDelay = max(took, w.answerDelay/2) // A poll that ended early tells nothing, so the value falls slowly.
 }
 
-// lookOnce sends one poll beside the regular ones. It ignores a failure, as the regular polls find the reason.
-func (h *shard) lookOnce(w *workerState, within time.Duration) {
+// pollOnce sends one poll beside the regular ones. It ignores a failure, as the regular polls find the reason.
+func (h *shard) pollOnce(w *workerState, within time.Duration) {
 	h.mu.Lock()
 	look, target, mark := &fleet.Look{Token: h.tenure.Epoch(), Acknowledged: w.toForget()}, w.target(), w.mark()
 	h.mu.Unlock()
@@ -136,84 +136,84 @@
 	defer cancel()
 	report, err := h.Orders.Look(ctx, &target, look)
 	if err == nil {
-		h.noteLook(w, time.Since(mark.at))
+		h.recordPollDelay(w, time.Since(mark.at))
 		h.takeReport(w, &report, mark, look.Acknowledged)
 	}
 }
 
-// clockFresh is how long a worker's clock is used without asking again: with 2% drift it is 0.6 s off by then.
-const clockFresh = 30 * time.Second
+// clockMaxAge is how long a worker's clock is used without asking again: with 2% drift it is 0.6 s off by then.
+const clockMaxAge = 30 * time.Second
 
 // setClock polls a worker whose clock was last reported too long ago. After 20 idle minutes the clock may be 24
 // s off: the first lease would be taken to expire 36 s late and would be renewed for longer than intended.
 func (h *shard) setClock(w *workerState) {
 	h.mu.Lock()
-	fresh := time.Since(w.clockAt) < clockFresh
+	fresh := time.Since(w.clockAt) < clockMaxAge
 	h.mu.Unlock()
 	if !fresh {
-		h.lookOnce(w, answerTimeout)
+		h.pollOnce(w, answerTimeout)
 	}
 }
 
-// nextLook is the next step of the poll loop.
-type nextLook struct {
-	look   fleet.Look
-	target fleet.Worker
-	mark   sentMark
-	within time.Duration // Timeout of the poll.
-	idle   bool          // There is nothing to poll for.
-	gone   bool          // The worker was declared lost.
+// nextPoll is the next step of the poll loop.
+type nextPoll struct {
+	poll    fleet.Look
+	target  fleet.Worker
+	mark    sentMark
+	timeout time.Duration // Timeout of the poll.
+	idle    bool          // There is nothing to poll for.
+	gone    bool          // The worker was declared lost.
 }
 
-// nextLook prepares the next poll. It is idle while the worker has no runs and no ends to forget.
-func (h *shard) nextLook(w *workerState) nextLook {
+// nextPoll prepares the next poll. It is idle while the worker has no runs and no ends to forget.
+func (h *shard) nextPoll(w *workerState) nextPoll {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.judgeSilence(w)
+	h.checkSilence(w)
 	if w.gone {
-		return nextLook{gone: true}
+		return nextPoll{gone: true}
 	}
 	if w.target().Address == "" {
-		return nextLook{idle: true}
+		return nextPoll{idle: true}
 	}
 	if len(w.runs) == 0 && w.clock != 0 && w.told >= w.acknowledged && w.failures == 0 && w.isCertain() {
-		return nextLook{idle: true}
+		return nextPoll{idle: true}
 	}
 	look := fleet.Look{Token: h.tenure.Epoch(), Acknowledged: w.toForget()}
 	// The leases of a silent worker are not renewed, so that they surely expire.
 	if w.clock != 0 && len(w.runs) > 0 && w.failures == 0 && w.isCertain() {
 		look.Lease = h.renew(w)
 		if !w.unsettled() {
-			look.Wait = w.lookWait()
+			look.Wait = w.pollWait()
 		}
 	}
-	return nextLook{look: look, target: w.target(), mark: w.mark(), within: w.untilOver(look.Wait + w.answerBound())}
+	return nextPoll{poll: look, target: w.target(), mark: w.mark(), timeout: w.capAtLeaseEnd(look.Wait + w.answerBound())}
 }
 
-// leastWait is the shortest timeout of an answer and the shortest pause.
-const leastWait = 20 * time.Millisecond
+// minWait is the shortest timeout of an answer and the shortest pause.
+const minWait = 20 * time.Millisecond
 
-// untilOver shortens a wait so that it ends when the leases of a silent worker expire. Without it the worker's
+// capAtLeaseEnd shortens a wait so that it ends when the leases of a silent worker expire. Without it the worker's
 // tasks started again up to 1.5 s later.
-func (w *workerState) untilOver(wait time.Duration) time.Duration {
+func (w *workerState) capAtLeaseEnd(wait time.Duration) time.Duration {
 	if w.failures == 0 || len(w.runs) == 0 {
 		return wait
 	}
-	return min(wait, max(time.Until(w.leases.over), leastWait))
+	return min(wait, max(time.Until(w.leases.over), minWait))
 }
 
-func (h *shard) untilOver(w *workerState, wait time.Duration) time.Duration {
+func (h *shard) capAtLeaseEnd(w *workerState, wait time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return w.untilOver(wait)
+	return w.capAtLeaseEnd(wait)
 }
 
-// lookWait returns how long a poll waits for a run to end.
-func (w *workerState) lookWait() time.Duration {
+// pollWait returns how long a poll waits for a run to end.
+func (w *workerState) pollWait() time.Duration {
 	if w.leaves() {
-		return leavingWait
+		return leavingPollWait
 	}
-	return lookWait
+	return pollWait
 }
 
 // unsettled reports whether the worker has to be polled soon, as a run was adopted, or its start or stop is not
@@ -230,7 +230,7 @@
 // awaitCommit waits until the ends from the last report are committed, so that the next poll can acknowledge
 // them.
 func (h *shard) awaitCommit(w *workerState) {
-	deadline := time.Now().Add(commitPatience)
+	deadline := time.Now().Add(commitWaitLimit)
 	for time.Now().Before(deadline) && h.ctx.Err() == nil {
 		h.mu.Lock()
 		done := w.acknowledged >= w.applied
@@ -242,8 +242,8 @@
 	}
 }
 
-// lookFailed records a poll without an answer.
-func (h *shard) lookFailed(w *workerState, m sentMark, err error) {
+// pollFailed records a poll without an answer.
+func (h *shard) pollFailed(w *workerState, m sentMark, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.noteFailure(w, m, err, "look")
@@ -262,11 +262,11 @@
 	if w.isOld(m) && (!refused || refusal != fleet.Fenced) {
 		return // It was sent to an earlier incarnation.
 	}
-	if !refused || refusal == fleet.OtherLife && !w.isHome() {
-		w.hungUp = w.hungUp || errors.Is(err, fleet.ErrHungUp)
+	if !refused || refusal == fleet.OtherLife && !w.isAtKnownAddress() {
+		w.connectionClosed = w.connectionClosed || errors.Is(err, fleet.ErrHungUp)
 		h.Figures.Count("orders_unanswered")
 		w.failures++
-		w.noteMissed()
+		w.recordMissed()
 		if w.failures == 1 {
 			h.Log.Warn("scheduler: worker does not answer; retrying", zap.Inline(w.life), zap.String("order", order), logsink.Error(err))
 			h.changed = true
@@ -275,23 +275,23 @@
 	}
 	switch refusal {
 	case fleet.OtherLife:
-		h.endLife(w)
+		h.endIncarnation(w)
 	case fleet.Fenced:
-		h.endTenure(w)
+		h.endLeaseTerm(w)
 	case fleet.Unhealthy, fleet.NoRoom:
-		w.unhealthy = time.Now().Add(unhealthyFor)
+		w.unhealthyUntil = time.Now().Add(unhealthyFor)
 	}
 	h.changed = true
 	h.signal()
 }
 
-// isHome reports whether the worker's address is the one where it was reached in this lease term or the one
+// isAtKnownAddress reports whether the worker's address is the one where it was reached in this lease term or the one
 // before, or whether none is known. At an address from a later record, an answer of another incarnation does
 // not prove that this one has ended.
-func (w *workerState) isHome() bool { return w.home == "" || w.home == w.target().Address }
+func (w *workerState) isAtKnownAddress() bool { return w.home == "" || w.home == w.target().Address }
 
-// endTenure ends the lease term, because a worker has seen the fencing token of a later holder.
-func (h *shard) endTenure(w *workerState) {
+// endLeaseTerm ends the lease term, because a worker has seen the fencing token of a later holder.
+func (h *shard) endLeaseTerm(w *workerState) {
 	if !h.replaced {
 		h.Log.Warn("scheduler: worker has seen a later lease holder; ending the lease term", zap.Inline(w.life), zap.Int64("epoch", h.tenure.Epoch()))
 	}
--- a/internal/scheduler/unsaid.go
+++ b/internal/scheduler/unsaid.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// recordBack is how long after an outage of the store or of the worker a record that expired in it
+	// recordReturnTime is how long after an outage of the store or of the worker a record that expired in it
 	// reappears: about 2 s, and the interval of the feed.
-	recordBack = 2*time.Second + heartbeatDelay
-	// unsaidCheck is how often a worker without a record is checked for an answer, and lapseCheck how often it
+	recordReturnTime = 2*time.Second + heartbeatDelay
+	// unannouncedCheckInterval is how often a worker without a record is checked for an answer, and massExpiryCheckInterval how often it
 	// is checked whether most other records are still missing too.
-	unsaidCheck = 100 * time.Millisecond
-	lapseCheck  = 500 * time.Millisecond
+	unannouncedCheckInterval = 100 * time.Millisecond
+	massExpiryCheckInterval  = 500 * time.Millisecond
 )
 
-// followUnsaid starts to watch a worker whose record went missing after asOf for an unannounced departure. A
+// watchUnannounced starts to watch a worker whose record went missing after asOf for an unannounced departure. A
 // worker without a known address can't be asked.
-func (h *shard) followUnsaid(w *workerState, asOf time.Time) {
+func (h *shard) watchUnannounced(w *workerState, asOf time.Time) {
 	if w.Address == "" {
 		return
 	}
-	gone := w.unlisted
-	h.ordering.Go(func() { h.clearUnsaid(w, gone, asOf) })
+	gone := w.unlistedAt
+	h.ordering.Go(func() { h.drainUnannounced(w, gone, asOf) })
 }
 
-// clearUnsaid drains a worker whose record is missing, as if it had announced its departure, once an
+// drainUnannounced drains a worker whose record is missing, as if it had announced its departure, once an
 // unannounced departure is certain enough. The worker stays at least for Bounds.Stays after asOf, the earliest
 // time at which the record can have gone. Zero means that only a predecessor saw the record, so that the worker
 // may be gone at any moment.
-func (h *shard) clearUnsaid(w *workerState, gone, asOf time.Time) {
+func (h *shard) drainUnannounced(w *workerState, gone, asOf time.Time) {
 	if h.ctx.Err() != nil {
 		return
 	}
-	h.lookOnce(w, answerTimeout) // The last report is from before the record went missing.
+	h.pollOnce(w, answerTimeout) // The last report is from before the record went missing.
 	for {
 		h.mu.Lock()
-		wait, missing := h.untilUnsaid(w, gone, time.Now())
+		wait, missing := h.untilUnannounced(w, gone, time.Now())
 		earliest := asOf.Add(h.Bounds.Stays)
 		if missing && wait <= 0 {
-			w.leavesAt, w.stays = earliest, earliest
+			w.leavesAt, w.staysUntil = earliest, earliest
 			h.Figures.Count("workers_left_unsaid")
 			h.Log.Info("scheduler: worker leaves unannounced; stopping its runs in time", zap.Inline(w.life), zap.Int("runs", len(w.runs)),
 				zap.Duration("left", time.Until(earliest)), h.beliefOf(w))
@@ -51,7 +51,7 @@
 			return
 		}
 		if wait <= 0 {
-			h.clearLeaving(w, earliest)
+			h.drainLeaving(w, earliest)
 			return
 		}
 		if !interval.Sleep(h.ctx, wait) {
@@ -60,35 +60,35 @@
 	}
 }
 
-// untilUnsaid returns how long to wait until a record missing since gone proves an unannounced departure, and
+// untilUnannounced returns how long to wait until a record missing since gone proves an unannounced departure, and
 // whether it is still missing. A record also expires in an outage of the store or of the worker, and reappears
 // soon after either answers again. If the store works and the worker has answered since the record went, the
 // worker is leaving.
-func (h *shard) untilUnsaid(w *workerState, gone, now time.Time) (wait time.Duration, missing bool) {
-	if w.gone || w.listed || w.Draining || !w.unlisted.Equal(gone) {
+func (h *shard) untilUnannounced(w *workerState, gone, now time.Time) (wait time.Duration, missing bool) {
+	if w.gone || w.listed || w.Draining || !w.unlistedAt.Equal(gone) {
 		return 0, false
 	}
-	well := w.since // Faults before that are unknown.
+	well := w.knownSince // Faults before that are unknown.
 	for _, wrong := range []time.Time{w.backAt, h.storeOut} {
 		if wrong.After(well) {
 			well = wrong
 		}
 	}
-	if left := well.Add(recordBack).Sub(now); left > 0 {
+	if left := well.Add(recordReturnTime).Sub(now); left > 0 {
 		return left, true
 	}
 	switch {
 	case w.failures > 0 || !w.clockAt.After(gone):
-		return unsaidCheck, true
-	case h.lapse():
-		return lapseCheck, true
+		return unannouncedCheckInterval, true
+	case h.haveMostExpired():
+		return massExpiryCheckInterval, true
 	}
 	return 0, true
 }
 
-// lapse reports whether at least as many workers with runs lack a record as have one. So many don't leave
+// haveMostExpired reports whether at least as many workers with runs lack a record as have one. So many don't leave
 // together: the store may be refusing workers' calls while it serves boxes.
-func (h *shard) lapse() bool {
+func (h *shard) haveMostExpired() bool {
 	balance := 0
 	for _, w := range h.workers {
 		switch {
--- a/internal/scheduler/unsaid_test.go
+++ b/internal/scheduler/unsaid_test.go
@@ -13,11 +13,11 @@
 	"github.com/pulleyring/pulleyring/internal/ledger"
 )
 
-// TestWhatAMissingRecordMeans: the record of a worker that leaves unannounced goes missing. It also goes
+// TestMissingRecordAsUnannouncedDeparture: the record of a worker that leaves unannounced goes missing. It also goes
 // missing while the store is out or the worker is cut off, and reappears about 2 s later. When a worker that
 // answered without a record was left alone, a run that ended in the last ms of its process was never reported.
 // A worker that can't be reached, or whose record may have expired, must not count as leaving.
-func TestWhatAMissingRecordMeans(t *testing.T) {
+func TestMissingRecordAsUnannouncedDeparture(t *testing.T) {
 	const ms = time.Millisecond
 	others := func(h *shard, listed, lapsed int) {
 		for i := range listed + lapsed {
@@ -39,14 +39,14 @@
 		{"it is back since a second, and the store since half of one", func(h *shard, w *workerState) {
 			w.backAt, h.storeOut = time.Now().Add(-time.Second), time.Now().Add(-500*ms)
 		}, 2500 * ms, true},
-		{"it does not answer", func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrNoAnswer, "look") }, unsaidCheck, true},
-		{"it has not answered since", func(_ *shard, w *workerState) { w.clockAt = w.unlisted.Add(-time.Millisecond) }, unsaidCheck, true},
-		{"most records are missing", func(h *shard, _ *workerState) { others(h, 2, 3) }, lapseCheck, true},
-		{"half of the records are missing", func(h *shard, _ *workerState) { others(h, 3, 2) }, lapseCheck, true},
+		{"it does not answer", func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrNoAnswer, "look") }, unannouncedCheckInterval, true},
+		{"it has not answered since", func(_ *shard, w *workerState) { w.clockAt = w.unlistedAt.Add(-time.Millisecond) }, unannouncedCheckInterval, true},
+		{"most records are missing", func(h *shard, _ *workerState) { others(h, 2, 3) }, massExpiryCheckInterval, true},
+		{"half of the records are missing", func(h *shard, _ *workerState) { others(h, 3, 2) }, massExpiryCheckInterval, true},
 		{"some records are missing", func(h *shard, _ *workerState) { others(h, 4, 2) }, 0, true},
-		{"it is known since a second", func(_ *shard, w *workerState) { w.since = time.Now().Add(-time.Second) }, 2 * time.Second, true},
+		{"it is known since a second", func(_ *shard, w *workerState) { w.knownSince = time.Now().Add(-time.Second) }, 2 * time.Second, true},
 		{"its record is back", func(_ *shard, w *workerState) { w.listed = true }, 0, false},
-		{"its record was back and is gone anew", func(_ *shard, w *workerState) { w.unlisted = time.Now() }, 0, false},
+		{"its record was back and is gone anew", func(_ *shard, w *workerState) { w.unlistedAt = time.Now() }, 0, false},
 		{"it had said that it leaves", func(_ *shard, w *workerState) { w.Draining = true }, 0, false},
 		{"it is gone", func(_ *shard, w *workerState) { w.gone = true }, 0, false},
 	} {
@@ -54,32 +54,32 @@
 			h, w := silentShard()
 			others(h, 2, 0)
 			time.Sleep(10 * time.Second)
-			w.listed, w.unlisted = false, time.Now()
-			gone := w.unlisted
+			w.listed, w.unlistedAt = false, time.Now()
+			gone := w.unlistedAt
 			time.Sleep(10 * ms)
 			w.heard(2)
 			c.bring(h, w)
-			wait, missing := h.untilUnsaid(w, gone, time.Now())
+			wait, missing := h.untilUnannounced(w, gone, time.Now())
 			quicktest.Check(t, missing, quicktest.Equals, c.missing, quicktest.Commentf(c.name))
 			quicktest.Check(t, max(wait, 0), quicktest.Equals, c.wait, quicktest.Commentf(c.name))
 		})
 	}
 }
 
-// silent answers no command.
-type silent struct{ fleet.Orders }
+// unreachable answers no command.
+type unreachable struct{ fleet.Orders }
 
-func (silent) Stop(context.Context, *fleet.Worker, *fleet.Stop) (int64, error) {
+func (unreachable) Stop(context.Context, *fleet.Worker, *fleet.Stop) (int64, error) {
 	return 0, fleet.ErrNoAnswer
 }
 
-func (silent) Look(context.Context, *fleet.Worker, *fleet.Look) (fleet.Report, error) {
+func (unreachable) Look(context.Context, *fleet.Worker, *fleet.Look) (fleet.Report, error) {
 	return fleet.Report{}, fleet.ErrNoAnswer
 }
 
-// TestAnotherWritersRecordIsNoLeave: a record of another writer in place of a worker's tells nothing of the
+// TestForeignRecordIsNoDeparture: a record of another writer in place of a worker's tells nothing of the
 // worker. Its runs must continue until its own record is surely gone.
-func TestAnotherWritersRecordIsNoLeave(t *testing.T) {
+func TestForeignRecordIsNoDeparture(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := silentShard()
 		for _, id := range []string{"u", "v"} {
@@ -87,7 +87,7 @@
 			h.workers[id].listed = true
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		h.ctx, h.Orders, h.tenure, w.Address = ctx, silent{}, &ledger.Tenure{}, "10.0.0.1:80"
+		h.ctx, h.Orders, h.tenure, w.Address = ctx, unreachable{}, &ledger.Tenure{}, "10.0.0.1:80"
 		r := w.runs[job.Task{Job: "j"}]
 		stopping := func() bool {
 			time.Sleep(time.Second)
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -12,30 +12,30 @@
 
 // Timing of the communication with workers.
 const (
-	// lookWait is how long a poll waits for a run to end. Each poll costs as much as a health check.
-	lookWait = 1500 * time.Millisecond
-	// leavingWait replaces lookWait for a leaving worker, whose leases are short.
-	leavingWait = 700 * time.Millisecond
+	// pollWait is how long a poll waits for a run to end. Each poll costs as much as a health check.
+	pollWait = 1500 * time.Millisecond
+	// leavingPollWait replaces pollWait for a leaving worker, whose leases are short.
+	leavingPollWait = 700 * time.Millisecond
 	// answerTimeout limits the answer to a command, beyond the command's own wait. A worker answers within a
 	// few ms; the rest allows for lost packets, which are retransmitted after 200 ms or more.
 	answerTimeout = 700 * time.Millisecond
 	// settlePause is the pause between polls that don't wait for a run to end.
 	settlePause = 30 * time.Millisecond
-	// lookRetry is the pause after the first failed poll. It doubles with each further failure, up to
-	// lookRetryMost.
-	lookRetry     = 100 * time.Millisecond
-	lookRetryMost = 800 * time.Millisecond
-	// commitPatience limits how long the next poll is delayed until the ends that the last one reported are
+	// pollRetry is the pause after the first failed poll. It doubles with each further failure, up to
+	// pollRetryMax.
+	pollRetry    = 100 * time.Millisecond
+	pollRetryMax = 800 * time.Millisecond
+	// commitWaitLimit limits how long the next poll is delayed until the ends that the last one reported are
 	// committed.
-	commitPatience = 300 * time.Millisecond
+	commitWaitLimit = 300 * time.Millisecond
 	// clockDrift is how much slower than ours a worker's clock may run: 2%, plus a margin for rounding.
 	clockDrift = 0.03
 	// heartbeatDelay is how late a heartbeat may be seen that a worker wrote before it fell silent: the
 	// interval of the feed and a margin.
 	heartbeatDelay = time.Second
-	// recordStays is how long a record may remain in the store after its worker has ended: three heartbeats and
+	// recordLingerTime is how long a record may remain in the store after its worker has ended: three heartbeats and
 	// the interval of the feed.
-	recordStays = 5 * time.Second
+	recordLingerTime = 5 * time.Second
 	// idlePause is how often a worker is checked for which there is nothing to poll.
 	idlePause = time.Second
 )
@@ -82,33 +82,33 @@
 	waker
 	contact
 	*listedEnds // Of the tracked incarnation.
-	conduct
+	workerHealth
 	leases leases
 	// Runs presumed ended that may still start. No lease is renewed until the worker has accepted their stops.
-	owed  map[*run]bool
-	seat  int       // Its index in the roster.
-	since time.Time // When it became known.
-	gone  bool
+	owed       map[*run]bool
+	seat       int       // Its index in the roster.
+	knownSince time.Time // When it became known.
+	gone       bool
 }
 
 // registration is what the worker's record in the store tells.
 type registration struct {
-	listed   bool      // The record exists.
-	unlisted time.Time // When the record was found missing.
-	foreign  bool      // Another writer's record is in its place.
-	beatAt   time.Time // Latest time at which the worker surely lived, by its record.
+	listed     bool      // The record exists.
+	unlistedAt time.Time // When the record was found missing.
+	foreign    bool      // Another writer's record is in its place.
+	aliveAt    time.Time // Latest time at which the worker surely lived, by its record.
 	// When it leaves: by its first announcement, or as presumed for an unannounced departure. Zero if it stays.
-	leavesAt time.Time
-	stays    time.Time // Until when it surely stays: the latest time by all of its records.
+	leavesAt   time.Time
+	staysUntil time.Time // Until when it surely stays: the latest time by all of its records.
 }
 
 // load is what runs on a worker.
 type load struct {
-	runs    map[job.Task]*run
-	used    job.Resources
-	freeing job.Resources // The part of used that belongs to runs being stopped.
-	begunBy job.ID        // The job whose run was placed there last.
-	begunAt time.Time     // When that run was placed.
+	runs          map[job.Task]*run
+	used          job.Resources
+	freeing       job.Resources // The part of used that belongs to runs being stopped.
+	lastPlacedJob job.ID        // The job whose run was placed there last.
+	lastPlacedAt  time.Time     // When that run was placed.
 }
 
 // answered records the answer to a command. An answer of another incarnation at the same address is ignored: it
@@ -118,8 +118,8 @@
 	if refusal, refused := refusalOf(err); refused && refusal == fleet.OtherLife || w.isOld(m) {
 		return
 	}
-	if w.hasGoneBack(m, clock) {
-		h.doubt(w, clock, order)
+	if w.hasClockGoneBack(m, clock) {
+		h.checkForRestart(w, clock, order)
 		return
 	}
 	w.heard(clock)
@@ -127,7 +127,7 @@
 
 // usable reports whether the worker accepts new runs.
 func (w *workerState) usable(now time.Time) bool {
-	return w.listed && !w.gone && !w.Draining && w.isCertain() && w.Life().Is(w.life) && w.clock != 0 && w.failures == 0 && len(w.owed) == 0 && now.After(w.unhealthy)
+	return w.listed && !w.gone && !w.Draining && w.isCertain() && w.Life().Is(w.life) && w.clock != 0 && w.failures == 0 && len(w.owed) == 0 && now.After(w.unhealthyUntil)
 }
 
 // takeListing applies workers' records. If whole, the listing is complete, and workers missing in it have lost
@@ -136,8 +136,8 @@
 	listed := map[string]bool{}
 	for i := range l.Workers {
 		listed[l.Workers[i].ID] = true
-		if h.addWorker(&l.Workers[i], l.AsOf) && !whole {
-			h.noteHeartbeat(l.Workers[i].Life())
+		if h.applyWorkerRecord(&l.Workers[i], l.AsOf) && !whole {
+			h.recordHeartbeat(l.Workers[i].Life())
 		}
 	}
 	for _, id := range l.Gone {
@@ -152,12 +152,12 @@
 	}
 }
 
-// addWorker applies a worker's record and reports whether it is one of the tracked incarnation. A record that
+// applyWorkerRecord applies a worker's record and reports whether it is one of the tracked incarnation. A record that
 // has changed was written after asOf.
-func (h *shard) addWorker(record *fleet.Worker, asOf time.Time) bool {
+func (h *shard) applyWorkerRecord(record *fleet.Worker, asOf time.Time) bool {
 	l := record.Life()
 	if h.workers[record.ID] == nil {
-		h.noteRecorded(l, false)
+		h.logReturnByRecord(l, false)
 	}
 	if h.hasEnded(l) {
 		return false
@@ -173,15 +173,15 @@
 	case w.life.Follows(l):
 		return false // It is older than the tracked incarnation.
 	case l.Follows(w.life):
-		h.announce(w, record, asOf)
+		h.noteLaterIncarnation(w, record, asOf)
 		return false
 	}
-	h.takeRecord(w, record, asOf)
+	h.applyRecord(w, record, asOf)
 	return true
 }
 
-// takeRecord applies a record of the tracked incarnation.
-func (h *shard) takeRecord(w *workerState, record *fleet.Worker, asOf time.Time) {
+// applyRecord applies a record of the tracked incarnation.
+func (h *shard) applyRecord(w *workerState, record *fleet.Worker, asOf time.Time) {
 	if w.life.Born == 0 {
 		w.life = record.Life()
 	}
@@ -199,39 +199,39 @@
 		h.signal()
 	}
 	leaves := record.Draining && w.leavesAt.IsZero()
-	h.noteLeaving(w, record, asOf)
+	h.recordDeparture(w, record, asOf)
 	if w.Address != record.Address {
-		h.addresses.changed(record.ID)
+		h.addresses.markChanged(record.ID)
 	}
 	w.Worker, w.listed, w.foreign = *record, true, false
-	w.lived(time.Now().Add(-recordStays))
+	w.markAlive(time.Now().Add(-recordLingerTime))
 	if first {
 		h.sendStops(w)
 	}
 	if leaves && len(w.runs) > 0 && w.clock != 0 {
-		h.ordering.Go(func() { h.lookOnce(w, answerTimeout) }) // The last report on its runs may be 1.5 s old.
+		h.ordering.Go(func() { h.pollOnce(w, answerTimeout) }) // The last report on its runs may be 1.5 s old.
 	}
 	w.signal()
 }
 
-// noteHeartbeat records that a worker has rewritten its record. The worker lives, so if it was silent it was
+// recordHeartbeat records that a worker has rewritten its record. The worker lives, so if it was silent it was
 // only cut off, and the losses counted against its tasks are taken back.
-func (h *shard) noteHeartbeat(l life.ID) {
-	h.noteRecorded(l, true)
+func (h *shard) recordHeartbeat(l life.ID) {
+	h.logReturnByRecord(l, true)
 	w := h.workers[l.Worker]
 	if w == nil {
 		return
 	}
-	w.lived(time.Now().Add(-heartbeatDelay))
-	if !w.silentSince.IsZero() && w.beatAt.After(w.silentSince) {
+	w.markAlive(time.Now().Add(-heartbeatDelay))
+	if !w.silentSince.IsZero() && w.aliveAt.After(w.silentSince) {
 		h.charge(h.losses.Returned(l))
 	}
 }
 
-// lived records that the worker surely lived at the given time, as its record shows.
-func (r *registration) lived(at time.Time) {
-	if at.After(r.beatAt) {
-		r.beatAt = at
+// markAlive records that the worker surely lived at the given time, as its record shows.
+func (r *registration) markAlive(at time.Time) {
+	if at.After(r.aliveAt) {
+		r.aliveAt = at
 	}
 }
 
@@ -255,14 +255,14 @@
 // newWorker adds an incarnation of a worker. It may have no record any more if a predecessor placed runs on it;
 // its address then comes from the predecessor.
 func (h *shard) newWorker(l life.ID) *workerState {
-	w := workerOf(&fleet.Worker{ID: l.Worker, Born: l.Born, Address: h.addresses.before.Of(l)})
-	w.unlisted, w.since, w.failures = time.Now(), time.Now(), 1
+	w := workerOf(&fleet.Worker{ID: l.Worker, Born: l.Born, Address: h.addresses.previous.Of(l)})
+	w.unlistedAt, w.knownSince, w.failures = time.Now(), time.Now(), 1
 	w.leases.extend(h.Bounds.longestLease(h.quiet.Add(renewedFor)))
 	w.home = w.Address
 	h.workers[w.ID] = w
-	h.takeOwed(w)
+	h.restorePendingStops(w)
 	h.roster = nil
-	h.ordering.Go(func() { h.talk(w) })
+	h.ordering.Go(func() { h.pollLoop(w) })
 	return w
 }
 
@@ -273,9 +273,9 @@
 	if w == nil || !w.listed && (!w.foreign || foreign) {
 		return
 	}
-	w.listed, w.unlisted, w.foreign = false, time.Now(), foreign
+	w.listed, w.unlistedAt, w.foreign = false, time.Now(), foreign
 	if !foreign && !w.Draining && len(w.runs) > 0 {
-		h.followUnsaid(w, asOf)
+		h.watchUnannounced(w, asOf)
 	}
 	h.Log.Info("scheduler: worker's record is missing from the store", zap.Inline(w.life), zap.Int("runs", len(w.runs)))
 	w.signal()
@@ -288,7 +288,7 @@
 	w := h.workers[o.Worker.Worker]
 	if w == nil {
 		w = h.newWorker(o.Worker)
-		h.followUnsaid(w, time.Time{})
+		h.watchUnannounced(w, time.Time{})
 	}
 	if o.Worker.Follows(w.life) || w.life.Born == 0 { // The known record is that of an earlier incarnation.
 		w.life = o.Worker
@@ -299,7 +299,7 @@
 func (h *shard) addRun(w *workerState, r *run) {
 	w.runs[r.task] = r
 	w.used = w.used.Add(r.each)
-	w.begunBy, w.begunAt = r.task.Job, r.placed
+	w.lastPlacedJob, w.lastPlacedAt = r.task.Job, r.placed
 	r.worker = w
 	h.holdings.add(r)
 	w.signal()
@@ -311,7 +311,7 @@
 	}
 	delete(w.runs, r.task)
 	if r.stray {
-		r.job.stray(r.task, -1)
+		r.job.countOrphan(r.task, -1)
 	}
 	w.used = w.used.Sub(r.each)
 	if r.stopping {
