--- a/internal/scheduler/leaving.go
+++ b/internal/scheduler/leaving.go
@@ -84,26 +84,26 @@
 	}
 	if w.leavesAt.IsZero() {
 		w.leavesAt = time.Now().Add(record.Leaves)
-		said := w.leavesAt
-		h.ordering.Go(func() { h.drainLeaving(w, said) })
+		announced := w.leavesAt
+		h.ordering.Go(func() { h.drainLeaving(w, announced) })
 	}
 }
 
 // drainLeaving stops the runs on a leaving worker before it may be gone. A run that ends in the last moments of
 // its process can't report its end, and its task then waits until the worker's leases have expired. Runs that
 // won't end in time are stopped first, as late as their stops surely take effect, and all others just before
-// the end. It returns early if the worker's announced departure is no longer at said.
-func (h *shard) drainLeaving(w *workerState, said time.Time) {
-	h.stopBefore(w, said, h.Bounds.StopTime+stopMargin, func(r *run) bool { return !r.held.endsBefore(w.staysUntil.Add(-finalStopTime)) })
-	h.stopBefore(w, said, finalStopTime, func(*run) bool { return true })
+// the end. It returns early if leavesAt no longer equals announced.
+func (h *shard) drainLeaving(w *workerState, announced time.Time) {
+	h.stopBefore(w, announced, h.Bounds.StopTime+stopMargin, func(r *run) bool { return !r.held.endsBefore(w.staysUntil.Add(-finalStopTime)) })
+	h.stopBefore(w, announced, finalStopTime, func(*run) bool { return true })
 }
 
 // stopBefore waits until ahead before the worker may be gone and then stops the runs selected by isLeft, with
-// their gangs. It returns early if the worker's announced departure is no longer at said.
-func (h *shard) stopBefore(w *workerState, said time.Time, ahead time.Duration, isLeft func(*run) bool) {
+// their gangs. It returns early if leavesAt no longer equals announced.
+func (h *shard) stopBefore(w *workerState, announced time.Time, ahead time.Duration, isLeft func(*run) bool) {
 	for {
 		h.mu.Lock()
-		stays, left := w.staysUntil, w.leavesAt.Equal(said)
+		stays, left := w.staysUntil, w.leavesAt.Equal(announced)
 		wait := time.Until(stays.Add(-ahead))
 		if left && wait <= 0 {
 			h.stopRuns(w, isLeft)
--- a/internal/scheduler/lives.go
+++ b/internal/scheduler/lives.go
@@ -76,13 +76,13 @@
 
 // checkForRestart records that another incarnation than the tracked one has executed a command, and polls the worker to
 // find out which.
-func (h *shard) checkForRestart(w *workerState, clock int64, order string) {
+func (h *shard) checkForRestart(w *workerState, clock int64, command string) {
 	if !w.doubted.IsZero() || w.gone {
 		return
 	}
 	w.doubted, h.changed = time.Now(), true
 	h.Figures.Count("workers_doubted")
-	h.Log.Warn("scheduler: worker's clock has gone back; polling it for a restart", zap.Inline(w.life), zap.String("order", order), zap.Int64("clock", clock),
+	h.Log.Warn("scheduler: worker's clock has gone back; polling it for a restart", zap.Inline(w.life), zap.String("order", command), zap.Int64("clock", clock),
 		zap.Int64("newest_clock", w.newestClock), zap.Int("runs", len(w.runs)))
 	h.ordering.Go(func() { h.pollOnce(w, answerTimeout) })
 }
@@ -169,22 +169,22 @@
 // endEarlierRuns ends the runs of earlier incarnations of a worker that the present one does not list. A start that
 // got no answer may still be executed by the present one, so it is stopped before its task starts again.
 func (h *shard) endEarlierRuns(w *workerState, listed map[job.Task]int, m sentMark) {
-	byLife := map[life.ID][]*run{}
+	byIncarnation := map[life.ID][]*run{}
 	for _, r := range w.runs {
 		if !w.life.Follows(r.life) {
 			continue
 		}
-		begunSince := r.confirmed.After(m.at) // The answer to its start arrived after the poll was sent.
-		if listed[r.task] == r.number || begunSince {
+		startedSince := r.confirmed.After(m.at) // The answer to its start arrived after the poll was sent.
+		if listed[r.task] == r.number || startedSince {
 			r.life = w.life
 			continue
 		}
-		byLife[r.life] = append(byLife[r.life], r)
+		byIncarnation[r.life] = append(byIncarnation[r.life], r)
 	}
-	if !w.previous.lost && w.life.Follows(w.previous.incarnation) && byLife[w.previous.incarnation] == nil {
-		byLife[w.previous.incarnation] = nil
+	if !w.previous.lost && w.life.Follows(w.previous.incarnation) && byIncarnation[w.previous.incarnation] == nil {
+		byIncarnation[w.previous.incarnation] = nil
 	}
-	for l, runs := range byLife {
+	for l, runs := range byIncarnation {
 		h.loseEarlier(w, l, runs)
 	}
 	for r, o := range w.openStarts {
@@ -203,7 +203,7 @@
 }
 
 // loseEarlier records that an earlier incarnation of a worker has ended, together with some runs.
-func (h *shard) loseEarlier(w *workerState, former life.ID, runs []*run) {
+func (h *shard) loseEarlier(w *workerState, earlier life.ID, runs []*run) {
 	var begun []*run
 	for _, r := range runs {
 		if r.ordering {
@@ -215,9 +215,9 @@
 		}
 		begun = append(begun, r)
 	}
-	w.previous.lost = w.previous.lost || w.previous.incarnation.Is(former)
-	lost := h.endLostRuns(w, former, begun, restarted)
-	h.assessLoss(lost, w.previous.incarnation.Is(former) && w.previous.record.Draining)
+	w.previous.lost = w.previous.lost || w.previous.incarnation.Is(earlier)
+	lost := h.endLostRuns(w, earlier, begun, restarted)
+	h.assessLoss(lost, w.previous.incarnation.Is(earlier) && w.previous.record.Draining)
 }
 
 // preventLateStart sends the worker's present incarnation a stop for a run that an earlier one was commanded to start,
@@ -229,10 +229,10 @@
 		h.stopUntracked(w, r.task, r.number)
 		return
 	}
-	late := &run{task: r.task, number: r.number, each: r.each, job: r.job, life: w.life, placed: time.Now(), ordered: r.ordered, stray: true}
-	h.addRun(w, late)
-	late.job.countOrphan(late.task, 1)
-	h.stop(w, late, "it was ordered to an earlier life")
+	orphan := &run{task: r.task, number: r.number, each: r.each, job: r.job, life: w.life, placed: time.Now(), ordered: r.ordered, stray: true}
+	h.addRun(w, orphan)
+	orphan.job.countOrphan(orphan.task, 1)
+	h.stop(w, orphan, "it was ordered to an earlier life")
 }
 
 // noteOpen records a start that got no answer.
--- a/internal/scheduler/loss.go
+++ b/internal/scheduler/loss.go
@@ -92,10 +92,10 @@
 	return lost
 }
 
-// assessLoss assesses a worker's loss. If said, the worker had announced its departure, so no task caused the
-// loss.
-func (h *shard) assessLoss(lost loss.Worker, said bool) {
-	if said {
+// assessLoss assesses a worker's loss. Announced means that the worker had announced its departure, so that no
+// task caused the loss.
+func (h *shard) assessLoss(lost loss.Worker, announced bool) {
+	if announced {
 		for _, r := range lost.Runs {
 			if j := h.jobs[r.Task.Job]; j != nil {
 				h.countStart(j, r.Task)
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -142,11 +142,11 @@
 
 // stopUntracked sends a stop for a run that is not tracked, without a retry.
 func (h *shard) stopUntracked(w *workerState, t job.Task, number int) {
-	order, target := &fleet.Stop{Task: t, Run: number, Token: h.tenure.Epoch()}, w.target()
+	command, target := &fleet.Stop{Task: t, Run: number, Token: h.tenure.Epoch()}, w.target()
 	h.ordering.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, answerTimeout)
 		defer cancel()
-		if _, err := h.Orders.Stop(ctx, &target, order); err != nil {
+		if _, err := h.Orders.Stop(ctx, &target, command); err != nil {
 			h.Log.Warn("scheduler: unable to stop an untracked run; waiting for the next report", zap.String("task", t.String()), logsink.Error(err))
 		}
 	})
--- a/internal/scheduler/sight.go
+++ b/internal/scheduler/sight.go
@@ -93,16 +93,16 @@
 )
 
 // recordPresumedEnded records that runs on an incarnation of a worker were presumed ended.
-func (h *shard) recordPresumedEnded(l life.ID, given []*run, cause lossCause) {
-	if len(given) == 0 {
+func (h *shard) recordPresumedEnded(l life.ID, runs []*run, cause lossCause) {
+	if len(runs) == 0 {
 		return
 	}
 	now := time.Now()
 	maps.DeleteFunc(h.givenUp, func(_ life.ID, g *givenUp) bool { return now.Sub(g.at) > presumedLossRetention })
 	if len(h.givenUp) < presumedLossLimit {
-		h.givenUp[l] = &givenUp{at: now, cause: cause, runs: len(given)}
+		h.givenUp[l] = &givenUp{at: now, cause: cause, runs: len(runs)}
 	}
-	for _, r := range given {
+	for _, r := range runs {
 		r.job.recordPresumedEnded(l, r, now)
 	}
 }
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -34,7 +34,7 @@
 // Their runs started elsewhere while they still ran. Only an answer of another incarnation may end a run before
 // its lease has surely expired.
 func TestSilentWorkerKeepsRunsUntilLeaseExpires(t *testing.T) {
-	look := func(h *shard, w *workerState) { h.pollFailed(w, w.mark(), fleet.ErrHungUp) }
+	poll := func(h *shard, w *workerState) { h.pollFailed(w, w.mark(), fleet.ErrHungUp) }
 	start := func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrHungUp, "start") }
 	refused := func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrNotListening, "look") }
 	silent := func(h *shard, w *workerState) { h.pollFailed(w, w.mark(), fleet.ErrNoAnswer) }
@@ -47,18 +47,18 @@
 		steps []func(h *shard, w *workerState)
 		ended bool // Right after the steps.
 	}{
-		{"hangs up on a look and refuses", []func(*shard, *workerState){look, refused}, false},
-		{"refuses, and hangs up later", []func(*shard, *workerState){refused, look}, false},
-		{"refuses again after that", []func(*shard, *workerState){refused, look, refused, refused}, false},
+		{"hangs up on a look and refuses", []func(*shard, *workerState){poll, refused}, false},
+		{"refuses, and hangs up later", []func(*shard, *workerState){refused, poll}, false},
+		{"refuses again after that", []func(*shard, *workerState){refused, poll, refused, refused}, false},
 		{"hangs up on a start and refuses", []func(*shard, *workerState){start, refused}, false},
 		{"is due to leave, hangs up and refuses", []func(*shard, *workerState){due, start, refused}, false},
 		{"has no record and does not answer", []func(*shard, *workerState){unlisted, silent, silent, silent}, false},
-		{"has no record, hangs up and refuses", []func(*shard, *workerState){unlisted, look, refused}, false},
+		{"has no record, hangs up and refuses", []func(*shard, *workerState){unlisted, poll, refused}, false},
 		{"leaves, has no record and does not answer", []func(*shard, *workerState){due, unlisted, silent, silent}, false},
-		{"leaves, has no record, hangs up and refuses", []func(*shard, *workerState){due, unlisted, look, refused}, false},
+		{"leaves, has no record, hangs up and refuses", []func(*shard, *workerState){due, unlisted, poll, refused}, false},
 		{"another life answers", []func(*shard, *workerState){other}, true},
 		{"another life answers where its record has it now", []func(*shard, *workerState){moved, other}, false},
-		{"hangs up, and another life answers", []func(*shard, *workerState){look, refused, other}, true},
+		{"hangs up, and another life answers", []func(*shard, *workerState){poll, refused, other}, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			h, w := silentShard()
@@ -130,8 +130,8 @@
 		h, w := silentShard()
 		h.tenure = &ledger.Tenure{}
 		time.Sleep(time.Second)
-		order, _, _ := h.nextStart(w, w.runs[job.Task{Job: "j"}], 1)
-		left := milliseconds(order.Lease - w.clock)
+		start, _, _ := h.nextStart(w, w.runs[job.Task{Job: "j"}], 1)
+		left := milliseconds(start.Lease - w.clock)
 		quicktest.Check(t, w.leases.over.Before(w.clockAt.Add(slowed(left)+h.Bounds.endsWithin())), quicktest.IsFalse)
 	})
 }
--- a/internal/scheduler/talk.go
+++ b/internal/scheduler/talk.go
@@ -65,15 +65,15 @@
 			interval.SleepOrWoken(h.ctx, idlePause, w.wake)
 			continue
 		}
-		look := &next.poll
+		poll := &next.poll
 		ctx, cancel := context.WithTimeout(h.ctx, next.timeout)
 		h.setCancelPoll(w, next.mark, cancel)
-		report, err := h.Orders.Look(ctx, &next.target, look)
+		report, err := h.Orders.Look(ctx, &next.target, poll)
 		cancel()
 		if h.ctx.Err() != nil {
 			return
 		}
-		if look.Wait == 0 {
+		if poll.Wait == 0 {
 			h.noteAnswer(err, time.Since(next.mark.at))
 		}
 		if err != nil {
@@ -84,10 +84,10 @@
 			continue
 		}
 		pause = pollRetry
-		h.recordPollDelay(w, time.Since(next.mark.at)-look.Wait)
-		if h.takeReport(w, &report, next.mark, look.Acknowledged) {
+		h.recordPollDelay(w, time.Since(next.mark.at)-poll.Wait)
+		if h.takeReport(w, &report, next.mark, poll.Acknowledged) {
 			h.awaitCommit(w)
-		} else if look.Wait == 0 {
+		} else if poll.Wait == 0 {
 			interval.Sleep(h.ctx, settlePause)
 		}
 	}
@@ -130,14 +130,14 @@
 // pollOnce sends one poll beside the regular ones. It ignores a failure, as the regular polls find the reason.
 func (h *shard) pollOnce(w *workerState, within time.Duration) {
 	h.mu.Lock()
-	look, target, mark := &fleet.Look{Token: h.tenure.Epoch(), Acknowledged: w.toForget()}, w.target(), w.mark()
+	poll, target, mark := &fleet.Look{Token: h.tenure.Epoch(), Acknowledged: w.toForget()}, w.target(), w.mark()
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(h.ctx, within)
 	defer cancel()
-	report, err := h.Orders.Look(ctx, &target, look)
+	report, err := h.Orders.Look(ctx, &target, poll)
 	if err == nil {
 		h.recordPollDelay(w, time.Since(mark.at))
-		h.takeReport(w, &report, mark, look.Acknowledged)
+		h.takeReport(w, &report, mark, poll.Acknowledged)
 	}
 }
 
@@ -179,15 +179,15 @@
 	if len(w.runs) == 0 && w.clock != 0 && w.told >= w.acknowledged && w.failures == 0 && w.isCertain() {
 		return nextPoll{idle: true}
 	}
-	look := fleet.Look{Token: h.tenure.Epoch(), Acknowledged: w.toForget()}
+	poll := fleet.Look{Token: h.tenure.Epoch(), Acknowledged: w.toForget()}
 	// The leases of a silent worker are not renewed, so that they surely expire.
 	if w.clock != 0 && len(w.runs) > 0 && w.failures == 0 && w.isCertain() {
-		look.Lease = h.renew(w)
+		poll.Lease = h.renew(w)
 		if !w.unsettled() {
-			look.Wait = w.pollWait()
+			poll.Wait = w.pollWait()
 		}
 	}
-	return nextPoll{poll: look, target: w.target(), mark: w.mark(), timeout: w.capAtLeaseEnd(look.Wait + w.answerBound())}
+	return nextPoll{poll: poll, target: w.target(), mark: w.mark(), timeout: w.capAtLeaseEnd(poll.Wait + w.answerBound())}
 }
 
 // minWait is the shortest timeout of an answer and the shortest pause.
@@ -257,7 +257,7 @@
 }
 
 // noteFailure records that a worker refused a command or did not answer it.
-func (h *shard) noteFailure(w *workerState, m sentMark, err error, order string) {
+func (h *shard) noteFailure(w *workerState, m sentMark, err error, command string) {
 	refusal, refused := refusalOf(err)
 	if w.isOld(m) && (!refused || refusal != fleet.Fenced) {
 		return // It was sent to an earlier incarnation.
@@ -268,7 +268,7 @@
 		w.failures++
 		w.recordMissed()
 		if w.failures == 1 {
-			h.Log.Warn("scheduler: worker does not answer; retrying", zap.Inline(w.life), zap.String("order", order), logsink.Error(err))
+			h.Log.Warn("scheduler: worker does not answer; retrying", zap.Inline(w.life), zap.String("order", command), logsink.Error(err))
 			h.changed = true
 		}
 		return
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -114,12 +114,12 @@
 // answered records the answer to a command. An answer of another incarnation at the same address is ignored: it
 // is no sign that this one lives. When it counted, a worker that had crashed at once and was back after 4 s
 // seemed to have lived for these 4 s.
-func (h *shard) answered(w *workerState, m sentMark, clock int64, err error, order string) {
+func (h *shard) answered(w *workerState, m sentMark, clock int64, err error, command string) {
 	if refusal, refused := refusalOf(err); refused && refusal == fleet.OtherLife || w.isOld(m) {
 		return
 	}
 	if w.hasClockGoneBack(m, clock) {
-		h.checkForRestart(w, clock, order)
+		h.checkForRestart(w, clock, command)
 		return
 	}
 	w.heard(clock)
