--- a/internal/scheduler/addresses_test.go
+++ b/internal/scheduler/addresses_test.go
@@ -7,8 +7,9 @@
 	"github.com/pulleyring/pulleyring/internal/ledger"
 )
 
-// TestAddressesAreWrittenWithoutDelay fails if the address rows of a new lease term are spread over more batches than
-// needed, or wait for a heartbeat in between. A successor needs them for workers whose records are gone.
+// TestAddressesAreWrittenWithoutDelay fails if the address rows of a new lease term are spread over more
+// batches than needed, or wait for a heartbeat in between. A successor needs them for workers whose records are
+// gone.
 func TestAddressesAreWrittenWithoutDelay(t *testing.T) {
 	h := newShard(t.Context(), &Scheduler{}, nil)
 	h.addresses.begin(nil)
--- a/internal/scheduler/answers.go
+++ b/internal/scheduler/answers.go
@@ -34,9 +34,9 @@
 	return max(h.answers.timeout(startTimeouts[try-1]), w.slowTimeout())
 }
 
-// slowAnswerTimeout limits the timeout of a worker that answers slowly, or that is silent and may be slow. Without
-// the longer timeout a worker on a busy machine, whose answers all took 0.9 s, was never seen, and its work ran
-// again when its lease had expired.
+// slowAnswerTimeout limits the timeout of a worker that answers slowly, or that is silent and may be slow.
+// Without the longer timeout a worker on a busy machine, whose answers all took 0.9 s, was never seen, and its
+// work ran again when its lease had expired.
 const slowAnswerTimeout = 2500 * time.Millisecond
 
 // slowTimeout returns the timeout for a worker that answers slowly. It is about 0 for a quick one.
--- a/internal/scheduler/blame.go
+++ b/internal/scheduler/blame.go
@@ -46,8 +46,8 @@
 	return verdict
 }
 
-// failCrashLooping fails a job of which one task crashes the workers that start it. All other tasks of the job are
-// stopped at once.
+// failCrashLooping fails a job of which one task crashes the workers that start it. All other tasks of the job
+// are stopped at once.
 func (h *shard) failCrashLooping(j *liveJob, t job.Task, counted job.Losses) {
 	if !j.GiveUp(t, job.CrashesWorkers, counted.Counted, time.Now().UnixMilli()) {
 		return
@@ -144,8 +144,8 @@
 	return w.lastPlacedJob
 }
 
-// clearImmediateLosses takes back a task's immediate losses once a run of it lasts longer than one that crashes its worker at
-// once.
+// clearImmediateLosses takes back a task's immediate losses once a run of it lasts longer than one that crashes
+// its worker at once.
 func (h *shard) clearImmediateLosses(w *workerState, r *run) {
 	if len(r.job.Progress.Losses) == 0 || w.answeredSince(r) < loss.ClearedAfter {
 		return
--- a/internal/scheduler/doubt_test.go
+++ b/internal/scheduler/doubt_test.go
@@ -14,8 +14,8 @@
 	t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 }
 
-// TestImmediateFailureQuarantinesTheWorker fails if a worker is not quarantined after a run failed there as soon as it
-// had begun. Such a failure is rather the worker's fault than the job's.
+// TestImmediateFailureQuarantinesTheWorker fails if a worker is not quarantined after a run failed there as
+// soon as it had begun. Such a failure is rather the worker's fault than the job's.
 func TestImmediateFailureQuarantinesTheWorker(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/scheduler/guess_test.go
+++ b/internal/scheduler/guess_test.go
@@ -7,7 +7,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// recordRunTimes records the run times of a queue's jobs, given as pairs of the declared and the real time in seconds.
+// recordRunTimes records the run times of a queue's jobs, given as pairs of the declared and the real time in
+// seconds.
 func recordRunTimes(e *estimates, pairs [][2]float64) {
 	for i, p := range pairs {
 		r := request(string(rune('a'+i)), time.Duration(p[0]*float64(time.Second)))
--- a/internal/scheduler/lagging.go
+++ b/internal/scheduler/lagging.go
@@ -45,8 +45,9 @@
 	return max(p.share, minShare) / age.Seconds()
 }
 
-// slowMembers returns the members of a gang that are far slower than the others, and how long the whole work would
-// take without them. It returns nil if fewer than two members, or fewer than half of them, have a known speed.
+// slowMembers returns the members of a gang that are far slower than the others, and how long the whole work
+// would take without them. It returns nil if fewer than two members, or fewer than half of them, have a known
+// speed.
 func (x *held) slowMembers() (slow []*run, whole time.Duration) {
 	var paces []float64
 	for _, r := range x.runs {
@@ -71,9 +72,9 @@
 	return slow, whole
 }
 
-// handleSlowMembers marks the workers that gangs on w show to be slow, so that others avoid them. It restarts a gang
-// without them if the gang would otherwise end too late to earn anything. On a day with 17% of the workers 6.6
-// times slower for 5.5 s, most gangs had a member on one, and urgent gangs of 2.5 s took 7 to 20 s. Slow
+// handleSlowMembers marks the workers that gangs on w show to be slow, so that others avoid them. It restarts a
+// gang without them if the gang would otherwise end too late to earn anything. On a day with 17% of the workers
+// 6.6 times slower for 5.5 s, most gangs had a member on one, and urgent gangs of 2.5 s took 7 to 20 s. Slow
 // periods pass: restarting every gang that would end sooner that way lost two and a half times as much work and
 // served no more.
 func (h *shard) handleSlowMembers(w *workerState, now time.Time) {
@@ -108,8 +109,8 @@
 	}
 }
 
-// isRestartWorthwhile reports whether a gang that needs left more time earns nothing unless it restarts, and a restart earns
-// a part worth more than the lost work.
+// isRestartWorthwhile reports whether a gang that needs left more time earns nothing unless it restarts, and a
+// restart earns a part worth more than the lost work.
 func (h *shard) isRestartWorthwhile(x *held, left, whole time.Duration, now time.Time) bool {
 	first := x.runs[0]
 	request := first.job.Request
--- a/internal/scheduler/leaving.go
+++ b/internal/scheduler/leaving.go
@@ -34,7 +34,8 @@
 	checkpoints  bool          // It checkpoints, so that its progress is kept if it ends early.
 }
 
-// isWorkLost reports whether the run can't end before its worker leaves, so that all of its progress is lost then.
+// isWorkLost reports whether the run can't end before its worker leaves, so that all of its progress is lost
+// then.
 func (d *departure) isWorkLost() bool {
 	if d.checkpoints || d.worked <= 0 || d.share >= 1 || d.share < shareResolution && d.worked > gangStartTime {
 		return false
@@ -66,9 +67,9 @@
 	}
 }
 
-// recordDeparture applies what a worker's record, written after asOf, tells of its departure. Each rewritten record
-// gives the time left at that moment, so the latest resulting end counts: a successor doesn't know the age of
-// the first record that it reads.
+// recordDeparture applies what a worker's record, written after asOf, tells of its departure. Each rewritten
+// record gives the time left at that moment, so the latest resulting end counts: a successor doesn't know the
+// age of the first record that it reads.
 func (h *shard) recordDeparture(w *workerState, record *fleet.Worker, asOf time.Time) {
 	if !record.Draining {
 		w.leavesAt, w.staysUntil = time.Time{}, time.Time{}
--- a/internal/scheduler/leaving_test.go
+++ b/internal/scheduler/leaving_test.go
@@ -53,7 +53,7 @@
 			defer h.mu.Unlock()
 			return r.stopping
 		}
-		w.clock = 0 // Prevents polls.
+		w.clock = 0 // Unknown, so that nothing polls the worker.
 		say(true)
 		time.Sleep(time.Second)
 		say(false)
@@ -82,7 +82,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			h, w := silentShard()
 			r := w.runs[job.Task{Job: "j"}]
-			w.clock = 0 // Prevents polls.
+			w.clock = 0 // Unknown, so that nothing polls the worker.
 			said := time.Now()
 			r.confirmed, r.progress.at, r.progress.share = said.Add(-time.Second), said, c.share
 			record := w.Worker
@@ -115,7 +115,7 @@
 			h.workers["o"] = elsewhere
 			d := h.demand(h.jobs["g"], job.Group{}, time.Now())
 			h.place(&d, map[int]string{0: "w", 1: "o"}, time.Now())
-			w.clock = 0 // Prevents polls.
+			w.clock = 0 // Unknown, so that nothing polls the worker.
 			said := time.Now()
 			here, there := w.runs[job.Task{Job: "g"}], elsewhere.runs[job.Task{Job: "g", Index: 1}]
 			for r, share := range map[*run]float64{here: 0.9, there: c.other} {
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestRewrittenRecordExtendsDeparture: a leaving worker writes the time left with each heartbeat. When only the first record
-// counted, which a successor takes for older than it is, its runs were stopped seconds too early. A record that
-// is read again without a change is as old as before.
+// TestRewrittenRecordExtendsDeparture: a leaving worker writes the time left with each heartbeat. When only the
+// first record counted, which a successor takes for older than it is, its runs were stopped seconds too early.
+// A record that is read again without a change is as old as before.
 func TestRewrittenRecordExtendsDeparture(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
@@ -146,7 +146,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			h, w := silentShard()
 			r := w.runs[job.Task{Job: "j"}]
-			w.clock = 0 // Prevents polls.
+			w.clock = 0 // Unknown, so that nothing polls the worker.
 			first := time.Now()
 			record := w.Worker
 			tell := func(leaves, age time.Duration) {
--- a/internal/scheduler/lives.go
+++ b/internal/scheduler/lives.go
@@ -42,7 +42,8 @@
 	stopSentTo life.ID // The last incarnation to which a stop of the run was sent.
 }
 
-// openStartRetention is how long a start without an answer may still be executed: far longer than a command is in flight.
+// openStartRetention is how long a start without an answer may still be executed: far longer than a command is
+// in flight.
 const openStartRetention = pendingStopRetention
 
 // sentMark is what was known of a worker when a command was sent.
@@ -68,14 +69,14 @@
 // isOld reports whether the command sent at m went to an incarnation that is not tracked any more.
 func (w *workerState) isOld(m sentMark) bool { return m.ends != w.listedEnds }
 
-// hasClockGoneBack reports whether an answer's clock shows that a later incarnation gave it. An incarnation's clock
-// never goes back; a late answer is compared with the clock known when its command was sent.
+// hasClockGoneBack reports whether an answer's clock shows that a later incarnation gave it. An incarnation's
+// clock never goes back; a late answer is compared with the clock known when its command was sent.
 func (w *workerState) hasClockGoneBack(m sentMark, clock int64) bool {
 	return clock != 0 && clock < m.clock && !w.isOld(m) && w.life.Born != 0
 }
 
-// checkForRestart records that another incarnation than the tracked one has executed a command, and polls the worker to
-// find out which.
+// checkForRestart records that another incarnation than the tracked one has executed a command, and polls the
+// worker to find out which.
 func (h *shard) checkForRestart(w *workerState, clock int64, command string) {
 	if !w.doubted.IsZero() || w.gone {
 		return
@@ -87,8 +88,8 @@
 	h.ordering.Go(func() { h.pollOnce(w, answerTimeout) })
 }
 
-// noteLaterIncarnation records the record of a later incarnation. Which commands that one has executed is unknown until it
-// answers.
+// noteLaterIncarnation stores the record of a later incarnation. Which commands that one has executed is
+// unknown until it answers.
 func (h *shard) noteLaterIncarnation(w *workerState, record *fleet.Worker, asOf time.Time) {
 	if w.nextRecord != nil && w.nextRecord.Life().Follows(record.Life()) {
 		return
@@ -141,8 +142,8 @@
 	}
 }
 
-// trackLater starts to track a later incarnation of a worker. The runs of the earlier one are ended by endEarlierRuns,
-// as far as the later one does not list them.
+// trackLater starts to track a later incarnation of a worker. The runs of the earlier one are ended by
+// endEarlierRuns, as far as the later one does not list them.
 func (h *shard) trackLater(w *workerState, next life.ID) {
 	h.Figures.Count("workers_started_again")
 	h.Log.Warn("scheduler: worker has restarted; tracking its new incarnation", zap.Inline(next), zap.Int64("before", w.life.Born), zap.Int("runs", len(w.runs)),
@@ -166,8 +167,8 @@
 	h.changed = true
 }
 
-// endEarlierRuns ends the runs of earlier incarnations of a worker that the present one does not list. A start that
-// got no answer may still be executed by the present one, so it is stopped before its task starts again.
+// endEarlierRuns ends the runs of earlier incarnations of a worker that the present one does not list. A start
+// that got no answer may still be executed by the present one, so it is stopped before its task starts again.
 func (h *shard) endEarlierRuns(w *workerState, listed map[job.Task]int, m sentMark) {
 	byIncarnation := map[life.ID][]*run{}
 	for _, r := range w.runs {
@@ -220,9 +221,9 @@
 	h.assessLoss(lost, w.previous.incarnation.Is(earlier) && w.previous.record.Draining)
 }
 
-// preventLateStart sends the worker's present incarnation a stop for a run that an earlier one was commanded to start,
-// so that it refuses or stops the run. The task is held until the worker has accepted the stop and a later poll
-// does not find the run.
+// preventLateStart sends the worker's present incarnation a stop for a run that an earlier one was commanded to
+// start, so that it refuses or stops the run. The task is held until the worker has accepted the stop and a
+// later poll does not find the run.
 func (h *shard) preventLateStart(w *workerState, r *run) {
 	p, known := h.jobTask(r.task)
 	if !known || w.runs[r.task] != nil || p.State == job.Finished {
--- a/internal/scheduler/lives_test.go
+++ b/internal/scheduler/lives_test.go
@@ -19,7 +19,8 @@
 	secondIncarnation = life.ID{Worker: "w", Born: 2000}
 )
 
-// shardWithIncarnation returns silentShard with a worker that has a start time. No command reaches a worker there.
+// shardWithIncarnation returns silentShard with a worker that has a start time. No command reaches a worker
+// there.
 func shardWithIncarnation() (*shard, *workerState) {
 	h, w := silentShard()
 	over, cancel := context.WithCancel(context.Background())
@@ -32,9 +33,9 @@
 	return h, w
 }
 
-// TestEndsOfALaterIncarnation: a worker ended two runs, which was committed, and restarted under its name. The reports
-// of the next incarnation were ignored: its clock was behind until it had lived as long as the one before, and
-// its first end had a number that was already applied.
+// TestEndsOfALaterIncarnation: a worker ended two runs, which was committed, and restarted under its name. The
+// reports of the next incarnation were ignored: its clock was behind until it had lived as long as the one
+// before, and its first end had a number that was already applied.
 func TestEndsOfALaterIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
@@ -57,8 +58,8 @@
 	})
 }
 
-// TestLaterIncarnationListsARun: a command names no incarnation, so the next one may have executed a start before its
-// restart was known. A run that it lists was not lost.
+// TestLaterIncarnationListsARun: a command names no incarnation, so the next one may have executed a start
+// before its restart was known. A run that it lists was not lost.
 func TestLaterIncarnationListsARun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
@@ -70,8 +71,8 @@
 	})
 }
 
-// TestLateReportOfAnEarlierIncarnation: the report of an earlier incarnation arrives late. An end in it counts, but
-// neither its clock nor its end numbers may be taken for those of the present incarnation.
+// TestLateReportOfAnEarlierIncarnation: the report of an earlier incarnation arrives late. An end in it counts,
+// but neither its clock nor its end numbers may be taken for those of the present incarnation.
 func TestLateReportOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
@@ -106,8 +107,8 @@
 	})
 }
 
-// TestRunAdoptedOnAnEarlierIncarnation: a predecessor placed a run on an incarnation that has since been replaced. The
-// run was lost with it and did not fail to start, so the loss must count against its task.
+// TestRunAdoptedOnAnEarlierIncarnation: a predecessor placed a run on an incarnation that has since been
+// replaced. The run was lost with it and did not fail to start, so the loss must count against its task.
 func TestRunAdoptedOnAnEarlierIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		placed life.ID
@@ -131,9 +132,9 @@
 	}
 }
 
-// TestRecordOfAnEndedIncarnation: the record of an ended incarnation remains for some seconds and must be ignored. A
-// worker whose last incarnation had ended was ignored whatever it recorded, until another worker's incarnation
-// ended.
+// TestRecordOfAnEndedIncarnation: the record of an ended incarnation remains for some seconds and must be
+// ignored. A worker whose last incarnation had ended was ignored whatever it recorded, until another worker's
+// incarnation ended.
 func TestRecordOfAnEndedIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
--- a/internal/scheduler/loss.go
+++ b/internal/scheduler/loss.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// answeredSince returns for how long after a run's start was sent, or a successor adopted it, the incarnation that it
-// was placed on is known to have answered.
+// answeredSince returns for how long after a run's start was sent, or a successor adopted it, the incarnation
+// that it was placed on is known to have answered.
 func (w *workerState) answeredSince(r *run) time.Duration {
 	answered := w.clockAt
 	if w.life.Follows(r.life) {
--- a/internal/scheduler/loss_test.go
+++ b/internal/scheduler/loss_test.go
@@ -9,9 +9,9 @@
 	"github.com/pulleyring/pulleyring/internal/fleet"
 )
 
-// TestAnswerOfAnotherIncarnationIsIgnored: a worker crashes as soon as a task has begun there, and seconds later another
-// incarnation at its address answers a command. That answer was taken for one of the crashed incarnation, so
-// that the task seemed to have run for those seconds.
+// TestAnswerOfAnotherIncarnationIsIgnored: a worker crashes as soon as a task has begun there, and seconds
+// later another incarnation at its address answers a command. That answer was taken for one of the crashed
+// incarnation, so that the task seemed to have run for those seconds.
 func TestAnswerOfAnotherIncarnationIsIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestTimeOfUnansweredCommands: a worker that had been silent since a takeover was declared lost 14 s later, and seemed to be
-// lost together with every worker that a task had crashed meanwhile. A worker counts as lost from when two
-// consecutive commands went unanswered, unless it was seen after that.
+// TestTimeOfUnansweredCommands: a worker that had been silent since a takeover was declared lost 14 s later,
+// and seemed to be lost together with every worker that a task had crashed meanwhile. A worker counts as lost
+// from when two consecutive commands went unanswered, unless it was seen after that.
 func TestTimeOfUnansweredCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := workerOf(&fleet.Worker{})
--- a/internal/scheduler/marks.go
+++ b/internal/scheduler/marks.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxCommitMarks is how many commits are remembered: a lease term commits every 15 to 300 ms, and records of workers
-// are at most about 0.4 s old when read.
+// maxCommitMarks is how many commits are remembered: a lease term commits every 15 to 300 ms, and records of
+// workers are at most about 0.4 s old when read.
 const maxCommitMarks = 64
 
 // commitMark is a commit of the lease term. Rows with a higher version in the store were written after the commit
--- a/internal/scheduler/marks_test.go
+++ b/internal/scheduler/marks_test.go
@@ -28,7 +28,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			h, w := silentShard()
-			w.clock = 0 // Prevents polls.
+			w.clock = 0 // Unknown, so that nothing polls the worker.
 			r := w.runs[job.Task{Job: "j"}]
 			second := time.Now()
 			h.marks.add(10, second.Add(-200*ms))
--- a/internal/scheduler/outbreak.go
+++ b/internal/scheduler/outbreak.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// failureBurstDuration is how long after the last failure at once a failure burst lasts: as long as a worker that
-	// fails everything is quarantined.
+	// failureBurstDuration is how long after the last immediate failure a failure burst lasts: as long as a
+	// worker that fails everything is quarantined.
 	failureBurstDuration = 8 * time.Second
-	// healthyAfter is the age from which a running run has not failed at once. The poll of its worker, which
-	// waits for ends, would have reported a failure by then.
+	// healthyAfter is the age from which a running run has not failed immediately. The poll of its worker,
+	// which waits for ends, would have reported a failure by then.
 	healthyAfter = immediateFailureMax + 100*time.Millisecond
 )
 
 // outbreak is a failure burst: a time in which unknown workers fail everything that they start. On a day with
 // 9% of 1,100 workers failing everything for 6 s, gangs of 20 to 70 members used up their two or three attempts
 // within a second, each on other workers not known yet. 15 of 1,000 jobs failed that way, which were all that
-// were not served. A single failure at once begins a burst, as tasks that cause their own failures fail after
+// were not served. A single immediate failure begins a burst, as tasks that cause their own failures fail after
 // some work. The zero value is none.
 type outbreak struct {
 	began time.Time
@@ -38,8 +38,8 @@
 	return !o.last.IsZero() && now.Sub(o.last) <= failureBurstDuration
 }
 
-// proven reports whether the worker has a run that did not fail at once, placed since the given time and since
-// its last failure at once.
+// proven reports whether the worker has a run that did not fail immediately, placed since the given time and
+// since its last immediate failure.
 func (w *workerState) proven(since, now time.Time) bool {
 	if w.healthySince.Before(since) {
 		for _, r := range w.runs {
@@ -51,7 +51,7 @@
 	return !w.healthySince.Before(since) && !w.healthySince.Before(w.immediateFailureAt)
 }
 
-// recordHealthyRun records that a run has not failed at once.
+// recordHealthyRun records that a run has not failed immediately.
 func (c *workerHealth) recordHealthyRun(r *run) {
 	if r.placed.After(c.healthySince) && r.placed.After(c.immediateFailureAt) {
 		c.healthySince = r.placed
--- a/internal/scheduler/owed.go
+++ b/internal/scheduler/owed.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// pendingStopRetention is how long the stop of a run on a lost worker is remembered: far longer than a command is in
-// flight.
+// pendingStopRetention is how long the stop of a run on a lost worker is remembered: far longer than a command
+// is in flight.
 const pendingStopRetention = time.Minute
 
 // owedStops is what may still start on a worker that was declared lost.
--- a/internal/scheduler/sight.go
+++ b/internal/scheduler/sight.go
@@ -88,7 +88,8 @@
 const (
 	// presumedLossRetention is how long runs presumed ended are remembered: far longer than any lease.
 	presumedLossRetention = 5 * time.Minute
-	// presumedLossLimit limits the remembered workers, and the remembered runs of each job. A site has fewer workers.
+	// presumedLossLimit limits the remembered workers, and the remembered runs of each job. A site has fewer
+	// workers.
 	presumedLossLimit = 4096
 )
 
@@ -107,8 +108,8 @@
 	}
 }
 
-// recordPresumedEnded records that a run was presumed ended, except for lasting tasks, which are restarted however they
-// end.
+// recordPresumedEnded records that a run was presumed ended, except for lasting tasks, which are restarted
+// however they end.
 func (j *liveJob) recordPresumedEnded(l life.ID, r *run, now time.Time) {
 	if j.Request.Steps[r.task.Step].Lasting || len(j.givenUp) >= presumedLossLimit {
 		return
@@ -131,8 +132,8 @@
 		zap.Strings("has", runNames(report)))
 }
 
-// logReturnByRecord logs the first record of a worker whose runs were presumed ended. Written means that the worker
-// has just written it; otherwise it may be an old one.
+// logReturnByRecord logs the first record of a worker whose runs were presumed ended. Written means that the
+// worker has just written it; otherwise it may be an old one.
 func (h *shard) logReturnByRecord(l life.ID, written bool) {
 	g := h.givenUp[l]
 	if g == nil || g.recorded || g.cause == leasesOver && !written {
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -28,11 +28,11 @@
 	return h, w
 }
 
-// TestSilentWorkerKeepsRunsUntilLeaseExpires: a worker was declared lost once it had closed a connection and refused the next
-// one, or had no record and did not answer, or had announced its departure and had no record. Living workers
-// show these signs too: behind a closed proxy, with an expired record, or serving on after their departure.
-// Their runs started elsewhere while they still ran. Only an answer of another incarnation may end a run before
-// its lease has surely expired.
+// TestSilentWorkerKeepsRunsUntilLeaseExpires: a worker was declared lost once it had closed a connection and
+// refused the next one, or had no record and did not answer, or had announced its departure and had no record.
+// Living workers show these signs too: behind a closed proxy, with an expired record, or serving on after their
+// departure. Their runs started elsewhere while they still ran. Only an answer of another incarnation may end a
+// run before its lease has surely expired.
 func TestSilentWorkerKeepsRunsUntilLeaseExpires(t *testing.T) {
 	poll := func(h *shard, w *workerState) { h.pollFailed(w, w.mark(), fleet.ErrHungUp) }
 	start := func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrHungUp, "start") }
@@ -77,10 +77,10 @@
 	}
 }
 
-// TestLeasesOfAPredecessorAreCounted: a box that was replaced without noticing it renewed the leases of a worker that its
-// successor could not reach. The successor counted these leases only from its own beginning. A lease term
-// renews leases for a limited time after its last commit. A successor must allow for that time until the worker
-// has accepted one of its commands.
+// TestLeasesOfAPredecessorAreCounted: a box that was replaced without noticing it renewed the leases of a
+// worker that its successor could not reach. The successor counted these leases only from its own beginning. A
+// lease term renews leases for a limited time after its last commit. A successor must allow for that time until
+// the worker has accepted one of its commands.
 func TestLeasesOfAPredecessorAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, w := silentShard()
@@ -103,9 +103,9 @@
 	})
 }
 
-// TestNothingStartsBesideAnOrphanedRun: an orphaned run, which had been presumed ended, is being stopped. Its task
-// could start elsewhere meanwhile. On the same worker the new run replaced the old one, whose resources were
-// never freed.
+// TestNothingStartsBesideAnOrphanedRun: an orphaned run, which had been presumed ended, is being stopped. Its
+// task could start elsewhere meanwhile. On the same worker the new run replaced the old one, whose resources
+// were never freed.
 func TestNothingStartsBesideAnOrphanedRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := silentShard()
--- a/internal/scheduler/talk.go
+++ b/internal/scheduler/talk.go
@@ -193,8 +193,8 @@
 // minWait is the shortest timeout of an answer and the shortest pause.
 const minWait = 20 * time.Millisecond
 
-// capAtLeaseEnd shortens a wait so that it ends when the leases of a silent worker expire. Without it the worker's
-// tasks started again up to 1.5 s later.
+// capAtLeaseEnd shortens a wait so that it ends when the leases of a silent worker expire. Without it the
+// worker's tasks started again up to 1.5 s later.
 func (w *workerState) capAtLeaseEnd(wait time.Duration) time.Duration {
 	if w.failures == 0 || len(w.runs) == 0 {
 		return wait
@@ -285,9 +285,9 @@
 	h.signal()
 }
 
-// isAtKnownAddress reports whether the worker's address is the one where it was reached in this lease term or the one
-// before, or whether none is known. At an address from a later record, an answer of another incarnation does
-// not prove that this one has ended.
+// isAtKnownAddress reports whether the worker's address is the one where it was reached in this lease term or
+// the one before, or whether none is known. At an address from a later record, an answer of another incarnation
+// does not prove that this one has ended.
 func (w *workerState) isAtKnownAddress() bool { return w.home == "" || w.home == w.target().Address }
 
 // endLeaseTerm ends the lease term, because a worker has seen the fencing token of a later holder.
--- a/internal/scheduler/unsaid.go
+++ b/internal/scheduler/unsaid.go
@@ -11,8 +11,8 @@
 	// recordReturnTime is how long after an outage of the store or of the worker a record that expired in it
 	// reappears: about 2 s, and the interval of the feed.
 	recordReturnTime = 2*time.Second + heartbeatDelay
-	// unannouncedCheckInterval is how often a worker without a record is checked for an answer, and massExpiryCheckInterval how often it
-	// is checked whether most other records are still missing too.
+	// unannouncedCheckInterval is how often a worker without a record is checked for an answer, and
+	// massExpiryCheckInterval how often it is checked whether most other records are still missing too.
 	unannouncedCheckInterval = 100 * time.Millisecond
 	massExpiryCheckInterval  = 500 * time.Millisecond
 )
@@ -60,10 +60,10 @@
 	}
 }
 
-// untilUnannounced returns how long to wait until a record missing since gone proves an unannounced departure, and
-// whether it is still missing. A record also expires in an outage of the store or of the worker, and reappears
-// soon after either answers again. If the store works and the worker has answered since the record went, the
-// worker is leaving.
+// untilUnannounced returns how long to wait until a record missing since gone proves an unannounced departure,
+// and whether it is still missing. A record also expires in an outage of the store or of the worker, and
+// reappears soon after either answers again. If the store works and the worker has answered since the record
+// went, the worker is leaving.
 func (h *shard) untilUnannounced(w *workerState, gone, now time.Time) (wait time.Duration, missing bool) {
 	if w.gone || w.listed || w.Draining || !w.unlistedAt.Equal(gone) {
 		return 0, false
@@ -86,8 +86,8 @@
 	return 0, true
 }
 
-// haveMostExpired reports whether at least as many workers with runs lack a record as have one. So many don't leave
-// together: the store may be refusing workers' calls while it serves boxes.
+// haveMostExpired reports whether at least as many workers with runs lack a record as have one. So many don't
+// leave together: the store may be refusing workers' calls while it serves boxes.
 func (h *shard) haveMostExpired() bool {
 	balance := 0
 	for _, w := range h.workers {
--- a/internal/scheduler/unsaid_test.go
+++ b/internal/scheduler/unsaid_test.go
@@ -13,10 +13,10 @@
 	"github.com/pulleyring/pulleyring/internal/ledger"
 )
 
-// TestMissingRecordAsUnannouncedDeparture: the record of a worker that leaves unannounced goes missing. It also goes
-// missing while the store is out or the worker is cut off, and reappears about 2 s later. When a worker that
-// answered without a record was left alone, a run that ended in the last ms of its process was never reported.
-// A worker that can't be reached, or whose record may have expired, must not count as leaving.
+// TestMissingRecordAsUnannouncedDeparture: the record of a worker that leaves unannounced goes missing. It also
+// goes missing while the store is out or the worker is cut off, and reappears about 2 s later. When a worker
+// that answered without a record was left alone, a run that ended in the last ms of its process was never
+// reported. A worker that can't be reached, or whose record may have expired, must not count as leaving.
 func TestMissingRecordAsUnannouncedDeparture(t *testing.T) {
 	const ms = time.Millisecond
 	others := func(h *shard, listed, lapsed int) {
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -33,8 +33,8 @@
 	// heartbeatDelay is how late a heartbeat may be seen that a worker wrote before it fell silent: the
 	// interval of the feed and a margin.
 	heartbeatDelay = time.Second
-	// recordLingerTime is how long a record may remain in the store after its worker has ended: three heartbeats and
-	// the interval of the feed.
+	// recordLingerTime is how long a record may remain in the store after its worker has ended: three
+	// heartbeats and the interval of the feed.
 	recordLingerTime = 5 * time.Second
 	// idlePause is how often a worker is checked for which there is nothing to poll.
 	idlePause = time.Second
@@ -152,8 +152,8 @@
 	}
 }
 
-// applyWorkerRecord applies a worker's record and reports whether it is one of the tracked incarnation. A record that
-// has changed was written after asOf.
+// applyWorkerRecord applies a worker's record and reports whether it is one of the tracked incarnation. A
+// record that has changed was written after asOf.
 func (h *shard) applyWorkerRecord(record *fleet.Worker, asOf time.Time) bool {
 	l := record.Life()
 	if h.workers[record.ID] == nil {
