--- a/internal/scheduler/blame.go
+++ b/internal/scheduler/blame.go
@@ -126,7 +126,7 @@
 // than against what starts beside it.
 func (w *workerState) suspect() job.ID {
 	for t, r := range w.runs {
-		if len(r.job.Progress.Losses) == 0 || w.answeredSince(r) > loss.CountedWithin {
+		if len(r.job.Progress.Losses) == 0 || w.answeredFor(r) > loss.CountedWithin {
 			continue
 		}
 		if lost := r.job.LossesOf(t); lost.AtOnce > 0 || lost.Counted >= loss.AloneAfter {
@@ -147,12 +147,12 @@
 // clearImmediateLosses takes back a task's immediate losses once a run of it lasts longer than one that crashes
 // its worker at once.
 func (h *shard) clearImmediateLosses(w *workerState, r *run) {
-	if len(r.job.Progress.Losses) == 0 || w.answeredSince(r) < loss.ClearedAfter {
+	if len(r.job.Progress.Losses) == 0 || w.answeredFor(r) < loss.ClearedAfter {
 		return
 	}
 	if n := r.job.LossesOf(r.task).AtOnce; n > 0 && r.job.Charge(r.task, job.Losses{AtOnce: -n}) {
 		h.Log.Info("scheduler: task with immediate losses of workers runs well now; taking these losses back", zap.String("task", r.task.String()), zap.Int("at_once", n),
-			zap.Inline(w.life), zap.Duration("seen", w.answeredSince(r)))
+			zap.Inline(w.life), zap.Duration("seen", w.answeredFor(r)))
 		h.touch(r.task.Job)
 	}
 }
--- a/internal/scheduler/loss.go
+++ b/internal/scheduler/loss.go
@@ -85,7 +85,7 @@
 	newest, beside := newestStart(runs), len(runs)-1
 	for _, r := range runs {
 		r.lost = &runLoss{
-			Cause: cause, Ordered: !r.ordered.IsZero(), Newest: !r.ordered.Before(newest), LostBeside: beside, AnsweredFor: w.answeredSince(r),
+			Cause: cause, Ordered: !r.ordered.IsZero(), Newest: !r.ordered.Before(newest), LostBeside: beside, AnsweredFor: w.answeredFor(r),
 		}
 		h.endRun(w, r, job.Lapsed, "")
 	}
@@ -132,7 +132,7 @@
 		if r.ordered.IsZero() && !r.adopted || r.job.Progress.State.Final() {
 			continue
 		}
-		lost.Runs = append(lost.Runs, loss.Run{Task: r.task, Before: r.job.LossesOf(r.task), Seen: w.answeredSince(r), Adopted: r.adopted})
+		lost.Runs = append(lost.Runs, loss.Run{Task: r.task, Before: r.job.LossesOf(r.task), Seen: w.answeredFor(r), Adopted: r.adopted})
 	}
 	return lost
 }
@@ -157,9 +157,9 @@
 	}
 }
 
-// answeredSince returns for how long after a run's start was sent, or a successor adopted it, the incarnation
+// answeredFor returns for how long after a run's start was sent, or a successor adopted it, the incarnation
 // that it was placed on is known to have answered.
-func (w *workerState) answeredSince(r *run) time.Duration {
+func (w *workerState) answeredFor(r *run) time.Duration {
 	answered := w.clockAt
 	if w.life.Follows(r.life) {
 		answered = time.Time{}
--- a/internal/scheduler/marks.go
+++ b/internal/scheduler/marks.go
@@ -13,7 +13,7 @@
 	began   time.Time
 }
 
-// marks are the newest commits, oldest first. With them a record's version tells when it was written more
+// marks lists the newest commits, oldest first. With them a record's version tells when it was written more
 // exactly than the answers of the feed, which are 0.3 s apart.
 type marks []commitMark
 
