--- a/internal/scheduler/leaving_test.go
+++ b/internal/scheduler/leaving_test.go
@@ -10,32 +10,33 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-func TestWorkThatIsLostWithItsWorker(t *testing.T) {
+func TestIsWorkLost(t *testing.T) {
 	const ms = time.Millisecond
 	tests := []struct {
 		name string
 		d    departure
 		want bool
 	}{
-		{"half done in a second, 0.9 s more to do", departure{worked: 1000 * ms, share: 0.5, left: 1800 * ms}, false},
-		{"a fifth done in a second, 3.8 s more at least", departure{worked: 1000 * ms, share: 0.2, left: 1800 * ms}, true},
-		{"it would end right when the worker leaves", departure{worked: 1000 * ms, share: 0.34, left: 1800 * ms}, false},
-		{"told long ago", departure{worked: 1000 * ms, share: 0.2, since: 1500 * ms, left: 2400 * ms}, false},
-		{"just begun", departure{worked: 60 * ms, share: 0, left: 1800 * ms}, true},
-		{"just begun, a short one perhaps", departure{worked: 15 * ms, share: 0, left: 1800 * ms}, false},
-		{"a gang that waits for a member", departure{worked: 900 * ms, share: 0, left: 1800 * ms}, false},
-		{"it keeps its state", departure{worked: 1000 * ms, share: 0.2, left: 1800 * ms, keeps: true}, false},
-		{"done", departure{worked: 1000 * ms, share: 1, left: 0}, false},
-		{"nothing told", departure{left: 10 * ms}, false},
+		{"half done in a second, 0.9 s more to do", departure{worked: 1000 * ms, share: 0.5, untilLeaving: 1800 * ms}, false},
+		{"a fifth done in a second, 3.8 s more at least", departure{worked: 1000 * ms, share: 0.2, untilLeaving: 1800 * ms}, true},
+		{"it would end right when the worker leaves", departure{worked: 1000 * ms, share: 0.34, untilLeaving: 1800 * ms}, false},
+		{"told long ago", departure{worked: 1000 * ms, share: 0.2, sinceReport: 1500 * ms, untilLeaving: 2400 * ms}, false},
+		{"just begun", departure{worked: 60 * ms, share: 0, untilLeaving: 1800 * ms}, true},
+		{"just begun, a short one perhaps", departure{worked: 15 * ms, share: 0, untilLeaving: 1800 * ms}, false},
+		{"a gang that waits for a member", departure{worked: 900 * ms, share: 0, untilLeaving: 1800 * ms}, false},
+		{"it keeps its state", departure{worked: 1000 * ms, share: 0.2, untilLeaving: 1800 * ms, checkpoints: true}, false},
+		{"done", departure{worked: 1000 * ms, share: 1, untilLeaving: 0}, false},
+		{"nothing told", departure{untilLeaving: 10 * ms}, false},
 	}
 	for _, test := range tests {
-		t.Run(test.name, func(t *testing.T) { quicktest.Check(t, test.d.isLost(), quicktest.Equals, test.want) })
+		t.Run(test.name, func(t *testing.T) { quicktest.Check(t, test.d.isWorkLost(), quicktest.Equals, test.want) })
 	}
 }
 
-// TestAWorkerThatStaysIsNotCleared: a worker's record says that it leaves, and then that it does not. What ran there was stopped all the same at the time at which it would have
-// left, and a worker that said so once more was not cleared then.
-func TestAWorkerThatStaysIsNotCleared(t *testing.T) {
+// TestWithdrawnDepartureDoesNotDrain: a worker's record announces a departure and later withdraws it. The
+// worker's runs were stopped all the same at the time of the departure, and a worker that announced a second
+// one was not drained for it.
+func TestWithdrawnDepartureDoesNotDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := silentShard()
 		defer h.ordering.Wait()
@@ -45,14 +46,14 @@
 			record.Draining, record.Leaves = draining, 3*time.Second
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.addWorker(&record, time.Now())
+			h.applyWorkerRecord(&record, time.Now())
 		}
 		stopping := func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return r.stopping
 		}
-		w.clock = 0 // Nobody looks there.
+		w.clock = 0 // Unknown, so that nothing polls the worker.
 		say(true)
 		time.Sleep(time.Second)
 		say(false)
@@ -63,30 +64,31 @@
 		quicktest.Assert(t, stopping(), quicktest.IsFalse)
 		say(false)
 		say(true)
-		time.Sleep(1500 * time.Millisecond) // The first time that it said is nearly over, the second is not.
+		time.Sleep(1500 * time.Millisecond) // The first departure is nearly due, the second is not.
 		quicktest.Assert(t, stopping(), quicktest.IsFalse)
 		time.Sleep(time.Second)
 		quicktest.Check(t, stopping(), quicktest.IsTrue)
 	})
 }
 
-// TestALeaverIsClearedByTheAgeOfItsNews: what runs on a worker that leaves is stopped before it may be gone, and it may have said so as early as just after all records were read last.
-func TestALeaverIsClearedByTheAgeOfItsNews(t *testing.T) {
+// TestDrainAllowsForTheAgeOfTheRecord fails if the runs of a leaving worker are stopped too late. The worker
+// may have announced its departure as early as just after the records were read the last time.
+func TestDrainAllowsForTheAgeOfTheRecord(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		age, stopsIn time.Duration
-		share        float64 // Of its work that it did in the second before.
+		share        float64 // Of its work, done in the second before.
 	}{{0, 1800 * ms, 0}, {time.Second, 800 * ms, 0}, {5 * time.Second, 0, 0}, {0, 1800 * ms, 0.1}, {0, 2850 * ms, 0.9}, {time.Second, 1850 * ms, 0.9}} {
 		synctest.Test(t, func(t *testing.T) {
 			h, w := silentShard()
 			r := w.runs[job.Task{Job: "j"}]
-			w.clock = 0 // Nobody looks there.
+			w.clock = 0 // Unknown, so that nothing polls the worker.
 			said := time.Now()
 			r.confirmed, r.progress.at, r.progress.share = said.Add(-time.Second), said, c.share
 			record := w.Worker
 			record.Draining, record.Leaves = true, 3*time.Second
 			h.mu.Lock()
-			h.addWorker(&record, said.Add(-c.age))
+			h.applyWorkerRecord(&record, said.Add(-c.age))
 			h.mu.Unlock()
 			h.ordering.Wait()
 			quicktest.Check(t, r.stopping, quicktest.IsTrue)
@@ -95,12 +97,14 @@
 	}
 }
 
-// TestALeaverIsClearedByItsWholeGang: a gang's member on a worker that leaves was about to be done, and another one elsewhere was far behind. By the member's own progress the gang was left to
-// run until the last moments of the worker; its stop came too late there to be heard of, and the gang began anew only when the worker's leases were over, 5 s later.
-func TestALeaverIsClearedByItsWholeGang(t *testing.T) {
+// TestDrainConsidersTheWholeGang: a gang's member on a leaving worker was nearly done, another one
+// elsewhere far behind. Judged by the first one alone, the gang ran until the worker's last moments. The stop
+// came too late for the worker to report the end, and the gang restarted 5 s later, when its leases had
+// expired.
+func TestDrainConsidersTheWholeGang(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
-		other   float64 // The share that the other member did in the second in which the leaver's did nine tenths.
+		other   float64 // Share done by the other member, while the leaving one did 0.9.
 		stopsIn time.Duration
 	}{{0.9, 2850 * ms}, {0.2, 1800 * ms}, {0, 1800 * ms}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -111,7 +115,7 @@
 			h.workers["o"] = elsewhere
 			d := h.demand(h.jobs["g"], job.Group{}, time.Now())
 			h.place(&d, map[int]string{0: "w", 1: "o"}, time.Now())
-			w.clock = 0 // Nobody looks there.
+			w.clock = 0 // Unknown, so that nothing polls the worker.
 			said := time.Now()
 			here, there := w.runs[job.Task{Job: "g"}], elsewhere.runs[job.Task{Job: "g", Index: 1}]
 			for r, share := range map[*run]float64{here: 0.9, there: c.other} {
@@ -120,7 +124,7 @@
 			record := w.Worker
 			record.Draining, record.Leaves = true, 3*time.Second
 			h.mu.Lock()
-			h.addWorker(&record, said)
+			h.applyWorkerRecord(&record, said)
 			h.mu.Unlock()
 			h.ordering.Wait()
 			quicktest.Check(t, here.stopAsked.Sub(said), quicktest.Equals, c.stopsIn)
@@ -129,25 +133,27 @@
 	}
 }
 
-// TestALeaverTellsAnew: a worker that leaves writes the time that is left with each heartbeat. Only the first record counted, which a successor takes for older than it is, and
-// what ran there was stopped seconds too early. A record that is read again without having been written is as old as before.
-func TestALeaverTellsAnew(t *testing.T) {
+// TestRewrittenRecordExtendsDeparture: a leaving worker writes the time left with each heartbeat. When only the
+// first record counted, which a successor takes for older than it is, its runs were stopped seconds too early.
+// A record that is read again without a change is as old as before.
+func TestRewrittenRecordExtendsDeparture(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
-		leaves  time.Duration // By the second record, which was read a second after the first one and written at most 0.3 s before.
-		stopsIn time.Duration // From the first one, which was written at most 2 s before.
+		// By the second record, read 1 s after the first one and written at most 0.3 s before.
+		leaves  time.Duration
+		stopsIn time.Duration // After the first record was read, which was written at most 2 s before.
 	}{{6000 * ms, 2800 * ms}, {5500 * ms, 5000 * ms}, {3000 * ms, 2800 * ms}, {0, 2800 * ms}} {
 		synctest.Test(t, func(t *testing.T) {
 			h, w := silentShard()
 			r := w.runs[job.Task{Job: "j"}]
-			w.clock = 0 // Nobody looks there.
+			w.clock = 0 // Unknown, so that nothing polls the worker.
 			first := time.Now()
 			record := w.Worker
 			tell := func(leaves, age time.Duration) {
 				record.Draining, record.Leaves = true, leaves
 				h.mu.Lock()
 				defer h.mu.Unlock()
-				h.addWorker(&record, time.Now().Add(-age))
+				h.applyWorkerRecord(&record, time.Now().Add(-age))
 			}
 			tell(6*time.Second, 2*time.Second)
 			time.Sleep(time.Second)
