--- a/internal/relay/book.go
+++ b/internal/relay/book.go
@@ -17,114 +17,120 @@
 	"go.uber.org/zap"
 )
 
-// Book is the addresses of some of the site's boxes: those that follow this one in the order of their rows, which is random, and the fittest of its
-// hall. What a box reads and keeps of the others does not grow with their number. Fill in the exported fields before use.
+// Book keeps the addresses of some other boxes of the site: those whose rows follow this box's own, and the
+// candidates of its hall. The rows lie in random order. A box reads and keeps the same amount however many boxes
+// there are. Set the exported fields before use.
 type Book struct {
-	Box      string               // Name of this box.
-	Hall     string               // Where it is.
-	Address  string               // IP:port where it passes on calls; empty for a box that does not.
-	Takeover time.Duration        // How long a take-over as scheduler would take it; the boxes are ranked by that.
-	Watchers int                  // How many boxes of a hall watch the store for the others.
-	Twin     func(address string) // Told where a box of the same name is, once its row is found in place of this one's; nil for nobody.
+	Box      string        // Name of this box.
+	Hall     string        // Hall of this box.
+	Address  string        // IP:port where it forwards calls; empty if it forwards none.
+	Takeover time.Duration // How long this box would need for a takeover as scheduler; ranks the boxes.
+	Watchers int           // Number of boxes of a hall that watch the store for the others.
+	// Twin is called with the address of a duplicate box when its row is found in place of this box's; may be nil.
+	Twin func(address string)
 
-	announced bool // Its row was written, or may have been.
+	announced bool // This box's row was written, or may have been.
 
-	mu         sync.Mutex
-	peers      []*peer
-	next       int          // The peer to begin with; a failure moves it on to the next one.
-	candidates []*candidate // The fittest other boxes of the hall that announce themselves, in order.
-	ranked     bool         // They were read.
+	mu              sync.Mutex
+	peers           []*peer
+	offset          int          // Number of failed calls; shifts the peer that is tried first.
+	candidates      []*candidate // Announced candidates of the hall without this box, best first.
+	candidatesKnown bool         // The candidates were read at least once.
 }
 
-// peer is another box.
+// peer is another box through which the store can be called.
 type peer struct {
 	announcement
-	restUntil time.Time // It is not called before.
-	resting   bool      // Its last call failed.
+	retryAt time.Time // It is not called before this time.
+	failed  bool      // The last call through it failed.
 }
 
-// announcement is what a box tells the others of itself.
+// announcement is the content of a box's row.
 type announcement struct {
 	box, address string
 	hall         string
-	written      time.Time // By that box's own time of day.
-	takeover     time.Duration
-	version      int64 // Of its row.
+	written      time.Time // By that box's own clock.
+	takeoverTime time.Duration
+	version      int64 // Version of its row.
 }
 
-// The rows lie in parts of their own, so that they never wait behind a scheduler's.
+// The rows have parts of their own, so that their transactions never wait behind those of a scheduler.
 const (
 	tableBoxes = "boxes"
 	partBoxes  = "boxes"
-	// announcedFields is how many fields a row has.
+	// announcedFields is the number of fields in the value of a row.
 	announcedFields = 4
 )
 
 const (
-	// announceEvery is how often a box writes its address and reads the others': a call each costs money, and a box that is
-	// cut off needs one that it knows.
-	announceEvery = 20 * time.Second
-	// announceFirst is the pause before the first reading, in which the boxes of a site that starts write theirs.
-	announceFirst = 2 * time.Second
-	// announceRetry is the pause after a failed call; it doubles up to announceRetryMost.
-	announceRetry     = time.Second
-	announceRetryMost = 8 * time.Second
-	// forgetAfter is the age at which the row of a box that is gone is deleted.
-	forgetAfter = 10 * time.Minute
-	// peerRest is how long a box that could not pass on a call is not asked again.
-	peerRest = time.Second
-	// neighbours is how many other boxes a box knows to call the store through.
-	neighbours = 16
+	// announceInterval is the pause between two rounds in which a box writes its own address and reads those of the
+	// others. Each round costs paid calls to the store, but a box that is cut off needs addresses that are current.
+	announceInterval = 20 * time.Second
+	// firstReadDelay is the pause before the first read. It gives boxes that start together time to write their rows.
+	firstReadDelay = 2 * time.Second
+	// announceRetry is the pause after a failed announcement. It doubles with each failure, up to maxAnnounceRetry.
+	announceRetry    = time.Second
+	maxAnnounceRetry = 8 * time.Second
+	// staleRowAge is the age above which the row of another box is deleted.
+	staleRowAge = 10 * time.Minute
+	// peerBackoff is how long a box is not called after it failed to forward a call.
+	peerBackoff = time.Second
+	// peersKept is the number of other boxes whose addresses a box keeps for forwarding.
+	peersKept = 16
 )
 
-// keep writes the box's address and reads the others' until ctx ends.
-func (b *Book) keep(ctx context.Context, s store.Store, log *zap.Logger) {
-	go b.followCandidates(ctx, s, log)
-	if !b.announceUntilTaken(ctx, s, log) {
+// run writes this box's address and reads those of the others periodically until ctx ends.
+func (b *Book) run(ctx context.Context, s store.Store, log *zap.Logger) {
+	go b.refreshCandidatesPeriodically(ctx, s, log)
+	if !b.announceUntilAccepted(ctx, s, log) {
 		return
 	}
-	interval.Sleep(ctx, announceFirst)
-	b.read(ctx, s, log)
-	for pause := b.firstPause(); interval.Sleep(ctx, pause); pause = announceEvery {
-		b.read(ctx, s, log) // Before the own row is written: another box of this name may have written it since.
-		if !b.announceUntilTaken(ctx, s, log) {
+	interval.Sleep(ctx, firstReadDelay)
+	b.refreshPeers(ctx, s, log)
+	for pause := b.firstInterval(); interval.Sleep(ctx, pause); pause = announceInterval {
+		b.refreshPeers(ctx, s, log) // Before the next write, which would hide the row of a duplicate box.
+		if !b.announceUntilAccepted(ctx, s, log) {
 			return
 		}
 	}
 }
 
-// firstPause is the time between the first two announcements: boxes that start together announce themselves at different times from then on.
-func (b *Book) firstPause() time.Duration { return announceEvery - b.Phase(announceEvery/2) }
+// firstInterval returns the time between the first two announcements. It depends on the box's name, so that boxes that
+// start together announce themselves at different times from then on.
+func (b *Book) firstInterval() time.Duration { return announceInterval - b.Phase(announceInterval/2) }
 
-// announceUntilTaken announces the box until the store takes it, and reports whether ctx goes on. One without an answer mostly lands, as the store has much to do
-// when many boxes start; the next reading tells whether it did.
-func (b *Book) announceUntilTaken(ctx context.Context, s store.Store, log *zap.Logger) bool {
-	for retry := announceRetry; ctx.Err() == nil; retry = min(2*retry, announceRetryMost) {
+// announceUntilAccepted repeats the announcement until the store accepts it. It returns false if ctx ends before that.
+// A write without an answer counts as accepted: the store is busy when many boxes start, and mostly carries it out.
+// The next read finds out, and writes the row again if it is missing.
+func (b *Book) announceUntilAccepted(ctx context.Context, s store.Store, log *zap.Logger) bool {
+	for retry := announceRetry; ctx.Err() == nil; retry = min(2*retry, maxAnnounceRetry) {
 		err := b.announce(ctx, s, b.ownKey())
 		if err == nil || errors.Is(err, store.ErrUnknown) {
 			b.announced = true
 			return true
 		}
-		log.Warn("relay: unable to announce the box's address", logsink.Error(err))
+		log.Warn("relay: unable to write the box's address; retrying", logsink.Error(err))
 		interval.Sleep(ctx, retry+b.Phase(retry))
 	}
 	return false
 }
 
-// Phase is the share of a time that is this box's own, so that boxes do the same at different times.
-func (b *Book) Phase(of time.Duration) time.Duration {
-	return time.Duration(float64(of) * float64(b.hash()) / math.MaxUint64)
+// Phase returns a duration from 0 to period that depends only on the box's name, so that boxes that wait for it don't
+// all act at the same time.
+func (b *Book) Phase(period time.Duration) time.Duration {
+	return time.Duration(float64(period) * float64(b.hash()) / math.MaxUint64)
 }
 
 func (b *Book) hash() uint64 { return xxhash.Sum64String(b.Box) }
 
-// ownKey names the box's row. Rows lie in random order, so that those next to each other are of any hall.
+// ownKey returns the key of this box's row. The hash in it puts the rows in random order, so that neighbouring rows
+// belong to boxes of different halls.
 func (b *Book) ownKey() store.Key {
 	return store.Key{Table: tableBoxes, Part: partBoxes, Name: fmt.Sprintf("%016x/%s", b.hash(), b.Box)}
 }
 
-// announce writes a row of the box: its address, when it was written, in Unix milliseconds, how long a take-over would take it, in
-// milliseconds, and its hall.
+// announce writes a row of this box under key: its address, the time of writing (Unix time in ms), the expected time
+// of a takeover (ms) and its hall. It does nothing for a box without an address.
 func (b *Book) announce(ctx context.Context, s store.Store, key store.Key) error {
 	if b.Address == "" {
 		return nil
@@ -134,11 +140,12 @@
 	return err
 }
 
-// read takes in the rows of the boxes next to this one, deletes those of boxes that are long gone, and writes the box's own again where it was lost.
-func (b *Book) read(ctx context.Context, s store.Store, log *zap.Logger) {
-	rows, err := b.readNeighbours(ctx, s)
+// refreshPeers reads the rows that follow this box's own, deletes the stale ones, and writes this box's row again if it
+// is missing.
+func (b *Book) refreshPeers(ctx context.Context, s store.Store, log *zap.Logger) {
+	rows, err := b.readPeerRows(ctx, s)
 	if err != nil {
-		log.Warn("relay: unable to read the boxes' addresses", logsink.Error(err))
+		log.Warn("relay: unable to read the addresses of other boxes; keeping the known ones", logsink.Error(err))
 		return
 	}
 	var old store.Transaction
@@ -153,13 +160,13 @@
 			if b.Address != "" && a.address != b.Address && b.Twin != nil {
 				b.Twin(a.address)
 			}
-		case time.Since(a.written) > forgetAfter:
+		case time.Since(a.written) > staleRowAge:
 			deleteUnchanged(&old, row)
 		default:
 			found = append(found, &peer{announcement: a})
 		}
 	}
-	b.take(found, log)
+	b.replacePeers(found, log)
 	if !own && b.announced {
 		err = b.announce(ctx, s, b.ownKey())
 	}
@@ -167,27 +174,29 @@
 		err = deleteRows(ctx, s, &old)
 	}
 	if err != nil {
-		log.Warn("relay: unable to write the boxes' addresses", logsink.Error(err))
+		log.Warn("relay: unable to restore the box's address or to delete stale ones; retrying at the next interval", logsink.Error(err))
 	}
 }
 
-// readNeighbours reads the own row and those that follow it, from the first one again after the last.
-func (b *Book) readNeighbours(ctx context.Context, s store.Store) ([]store.Row, error) {
+// readPeerRows reads this box's row and the peersKept rows that follow it. After the last row it continues with the
+// first.
+func (b *Book) readPeerRows(ctx context.Context, s store.Store) ([]store.Row, error) {
 	own := b.ownKey().Name
-	page, err := s.Read(ctx, store.Range{Table: tableBoxes, Part: partBoxes, From: own, Limit: neighbours + 1})
-	if err != nil || len(page.Rows) > neighbours {
+	page, err := s.Read(ctx, store.Range{Table: tableBoxes, Part: partBoxes, From: own, Limit: peersKept + 1})
+	if err != nil || len(page.Rows) > peersKept {
 		return page.Rows, err
 	}
-	first, err := s.Read(ctx, store.Range{Table: tableBoxes, Part: partBoxes, To: own, Limit: neighbours + 1 - len(page.Rows)})
+	first, err := s.Read(ctx, store.Range{Table: tableBoxes, Part: partBoxes, To: own, Limit: peersKept + 1 - len(page.Rows)})
 	return append(page.Rows, first.Rows...), err
 }
 
-// deleteUnchanged adds a row to those that are to be deleted if they have not changed.
+// deleteUnchanged adds the deletion of a row to tx, on condition that the row has not changed.
 func deleteUnchanged(tx *store.Transaction, row *store.Row) {
 	tx.Conditions = append(tx.Conditions, store.Condition{Key: row.Key, Version: row.Version})
 	tx.Deletes = append(tx.Deletes, row.Key)
 }
 
+// deleteRows commits the deletions in tx, if any. A conflict is no error: another box has changed or deleted the rows.
 func deleteRows(ctx context.Context, s store.Store, tx *store.Transaction) error {
 	if len(tx.Deletes) == 0 {
 		return nil
@@ -195,12 +204,13 @@
 	_, err := s.Commit(ctx, tx)
 	var conflict *store.Conflict
 	if errors.As(err, &conflict) {
-		return nil // Another box was faster.
+		return nil // Another box has changed or deleted them.
 	}
 	return err
 }
 
-// decodeAnnouncement returns an empty address and the beginning of time for a row that can't be read.
+// decodeAnnouncement decodes a row. For a malformed value it returns an announcement with just the name of the box and
+// the version; its zero time makes the row count as stale.
 func decodeAnnouncement(row *store.Row) announcement {
 	a := announcement{box: row.Name[strings.LastIndexByte(row.Name, '/')+1:], version: row.Version}
 	fields := strings.SplitN(string(row.Value), " ", announcedFields)
@@ -215,12 +225,12 @@
 	if err != nil {
 		return a
 	}
-	a.address, a.written, a.takeover, a.hall = fields[0], time.UnixMilli(at), time.Duration(takeover)*time.Millisecond, fields[3]
+	a.address, a.written, a.takeoverTime, a.hall = fields[0], time.UnixMilli(at), time.Duration(takeover)*time.Millisecond, fields[3]
 	return a
 }
 
-// take replaces the list of boxes; what is known of those that stay is kept.
-func (b *Book) take(found []*peer, log *zap.Logger) {
+// replacePeers replaces the list of peers, and keeps the call results of those that were in it before.
+func (b *Book) replacePeers(found []*peer, log *zap.Logger) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := map[string]*peer{}
@@ -238,37 +248,39 @@
 		found[i] = old
 	}
 	if len(added) > 0 || len(found) != len(b.peers) {
-		log.Info("relay: boxes are known", zap.Int("boxes", len(found)), zap.Strings("new", added))
+		log.Info("relay: the list of known boxes changed", zap.Int("boxes", len(found)), zap.Strings("new", added))
 	}
 	b.peers = found
 }
 
-// choose returns up to n boxes that are not resting; a single one once n are, as the store is likely out then. Boxes begin with
-// different ones, so that those that are cut off together do not all call the same.
-func (b *Book) choose(n int) []*peer {
+// choosePeers returns up to n peers that are not backing off. If n or more are backing off, the store itself is likely
+// unreachable, and it returns at most one. Each box starts at a different peer, so that boxes that are cut off together
+// don't all call the same one.
+func (b *Book) choosePeers(n int) []*peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	resting := 0
+	backingOff := 0
 	var chosen []*peer
-	begin := int(b.hash()%uint64(max(len(b.peers), 1))) + b.next
+	begin := int(b.hash()%uint64(max(len(b.peers), 1))) + b.offset
 	for i := range b.peers {
 		p := b.peers[(begin+i)%len(b.peers)]
 		switch {
-		case now.Before(p.restUntil):
-			resting++
+		case now.Before(p.retryAt):
+			backingOff++
 		case len(chosen) < n:
 			chosen = append(chosen, p)
 		}
 	}
-	if resting >= n && len(chosen) > 1 {
+	if backingOff >= n && len(chosen) > 1 {
 		return chosen[:1]
 	}
 	return chosen
 }
 
-// note takes in what became of a call at another box; one that fails rests, and calls go on to the next.
-func (b *Book) note(ctx context.Context, p *peer, err error, log *zap.Logger) {
+// recordResult records the outcome of a call through a peer. After a failure the peer is not called for peerBackoff,
+// and the next call starts at the following peer.
+func (b *Book) recordResult(ctx context.Context, p *peer, err error, log *zap.Logger) {
 	failed := errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknown)
 	if failed && errors.Is(ctx.Err(), context.Canceled) {
 		return // The caller gave up.
@@ -276,11 +288,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if failed {
-		p.restUntil = time.Now().Add(peerRest)
-		b.next++
+		p.retryAt = time.Now().Add(peerBackoff)
+		b.offset++
 	}
-	if failed != p.resting {
-		p.resting = failed
-		log.Info("relay: whether another box passes calls on", zap.String("peer", p.box), zap.Bool("passes", !failed), logsink.Error(err))
+	if failed != p.failed {
+		p.failed = failed
+		log.Info("relay: another box started or stopped forwarding calls", zap.String("peer", p.box), zap.Bool("passes", !failed), logsink.Error(err))
 	}
 }
--- a/internal/relay/cache.go
+++ b/internal/relay/cache.go
@@ -9,8 +9,8 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// Cache is a store that keeps what was read from it last, for other boxes of the hall that follow the same rows. It implements store.Peer; its own reads are
-// always new ones. Fill in the store before use.
+// Cache wraps a store and keeps the last page read of each range, for other boxes of the hall that need the same rows.
+// It implements store.Peer. Its Read always reads from the store. Set Store before use.
 type Cache struct {
 	store.Store
 
@@ -18,35 +18,35 @@
 	entries map[store.Range]*cachedPage
 }
 
-// cachedPage is a page as it was read last.
+// cachedPage is the last page that was read of a range.
 type cachedPage struct {
-	page    store.Page
-	digest  uint64
-	asked   time.Time     // When the read began.
-	changed chan struct{} // Closed once a read has other rows.
+	page      store.Page
+	digest    uint64
+	readStart time.Time     // When the read began.
+	changed   chan struct{} // Closed when a later read returns different rows.
 }
 
-// entriesMost bounds the ranges that are kept.
-const entriesMost = 16
+// maxEntries limits the number of ranges in the cache.
+const maxEntries = 16
 
 // Read implements store.Store.
 func (c *Cache) Read(ctx context.Context, r store.Range) (store.Page, error) {
 	asked := time.Now()
 	page, err := c.Store.Read(ctx, r)
 	if err == nil {
-		c.keep(r, page, asked)
+		c.put(r, page, asked)
 	}
 	return page, err
 }
 
-// keep takes in a page unless a later one was.
-func (c *Cache) keep(r store.Range, page store.Page, asked time.Time) {
+// put stores a page, unless the page in the cache comes from a later read.
+func (c *Cache) put(r store.Range, page store.Page, asked time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	digest := page.Digest()
 	e := c.entries[r]
 	switch {
-	case e == nil && len(c.entries) >= entriesMost:
+	case e == nil && len(c.entries) >= maxEntries:
 		return
 	case e == nil:
 		if c.entries == nil {
@@ -54,20 +54,20 @@
 		}
 		e = &cachedPage{changed: make(chan struct{})}
 		c.entries[r] = e
-	case asked.Before(e.asked):
+	case asked.Before(e.readStart):
 		return
 	case digest != e.digest:
 		close(e.changed)
 		e.changed = make(chan struct{})
 	}
-	e.page, e.digest, e.asked = page, digest, asked
+	e.page, e.digest, e.readStart = page, digest, asked
 }
 
 // Copy implements store.Replica.
 func (c *Cache) Copy(ctx context.Context, q store.Query) (store.Copy, error) {
 	began := time.Now()
 	for {
-		found, changed, err := c.find(&q)
+		found, changed, err := c.lookup(&q)
 		found.Waited = time.Since(began)
 		if err != nil || found.Digest != q.Known || found.Waited >= q.Wait {
 			return found, err
@@ -79,15 +79,16 @@
 	}
 }
 
-// find answers a query at once; changed is closed once other rows are read.
-func (c *Cache) find(q *store.Query) (found store.Copy, changed <-chan struct{}, err error) {
+// lookup answers a query without waiting. changed is closed when a later read returns different rows. The error is
+// store.ErrUnreachable if the range is not in the cache or was read longer than the query's MaxAge ago.
+func (c *Cache) lookup(q *store.Query) (found store.Copy, changed <-chan struct{}, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.entries[q.Range]
-	if e == nil || time.Since(e.asked) > q.MaxAge {
+	if e == nil || time.Since(e.readStart) > q.MaxAge {
 		return store.Copy{}, nil, store.ErrUnreachable
 	}
-	found = store.Copy{Digest: e.digest, Age: time.Since(e.asked)}
+	found = store.Copy{Digest: e.digest, Age: time.Since(e.readStart)}
 	if e.digest != q.Known {
 		found.Page = e.page
 	}
--- a/internal/relay/cache_test.go
+++ b/internal/relay/cache_test.go
@@ -10,9 +10,9 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// TestCopiesAreBoundInAge: a box answers for rows that it reads itself, and only while its last reading of them is young enough; a caller that has the same rows
-// waits for others.
-func TestCopiesAreBoundInAge(t *testing.T) {
+// TestCacheServesOnlyRecentReads guards against a cache that serves rows which it never read or read too long ago,
+// and against one that answers a waiting query before the rows have changed.
+func TestCacheServesOnlyRecentReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		row := store.Row{Key: store.Key{Table: "t", Name: "n"}, Value: []byte("a"), Version: 1}
@@ -30,7 +30,7 @@
 		quicktest.Assert(t, first.Page, quicktest.DeepEquals, f.page)
 		go func() {
 			time.Sleep(300 * time.Millisecond)
-			_, _ = c.Read(ctx, r) // The same rows: nobody is woken.
+			_, _ = c.Read(ctx, r) // The same rows: the waiting query is not answered.
 			time.Sleep(300 * time.Millisecond)
 			f.page.Rows = []store.Row{{Key: row.Key, Value: []byte("b"), Version: 2}}
 			_, _ = c.Read(ctx, r)
@@ -48,9 +48,10 @@
 	})
 }
 
-// TestReadsGoOnWithoutWatchers: both boxes that watch for a hall have gone dark, and the store answers slowly. Reads that are bounded as those of the lease
-// are fail seldom, and the first ones that fail leave time for the next.
-func TestReadsGoOnWithoutWatchers(t *testing.T) {
+// TestFollowerReadsWithoutWatchers guards against a follower that spends the time of its reads on watchers that
+// don't answer. Both watchers of the hall are cut off and the store is slow. Most reads must still succeed, with a
+// timeout as short as that of the reads of the lease.
+func TestFollowerReadsWithoutWatchers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := newSite(ctx, 12)
@@ -75,6 +76,6 @@
 		}
 		quicktest.Check(t, failed <= 4, quicktest.IsTrue, quicktest.Commentf("%d of 20 failed", failed))
 		cancel()
-		time.Sleep(time.Minute) // What was begun ends.
+		time.Sleep(time.Minute) // Lets the goroutines end.
 	})
 }
--- a/internal/relay/candidate.go
+++ b/internal/relay/candidate.go
@@ -11,51 +11,58 @@
 	"go.uber.org/zap"
 )
 
-// candidate is a box of the same hall that announces itself as fit to schedule.
+// candidate is another box of the same hall that announces itself as a possible scheduler.
 type candidate struct {
 	announcement
-	row     string    // Name of its row; the rows lie in the order in which the boxes go first.
-	renewed time.Time // When its row was last found to have changed.
+	row     string    // Name of its row; sorts the candidates, best first.
+	renewed time.Time // When this box last saw a new version of the row.
 }
 
 const (
-	// candidatesFirst is the pause before a box that starts reads the candidates, and candidatesSpread the time over which boxes that start together do so.
-	candidatesFirst  = 200 * time.Millisecond
+	// candidatesDelay is the minimum pause before a started box reads the candidates for the first time. A part of
+	// candidatesSpread is added that depends on the box's name, so that boxes that start together read at different
+	// times.
+	candidatesDelay  = 200 * time.Millisecond
 	candidatesSpread = time.Second
-	// candidatesWanted is how many boxes of a hall announce themselves as candidates: those that watch the lease, and some that stand in for them.
+	// candidatesWanted is the number of boxes of a hall that announce themselves as candidates: enough for those that
+	// watch the lease and some spare ones.
 	candidatesWanted = 8
-	// candidatesRead bounds the rows of candidates that are read, gone ones among them.
-	candidatesRead = 32
-	// presumedGone is the age of what a candidate last announced from which it does not count any more: two announcements missed.
-	presumedGone = 50 * time.Second
+	// maxCandidateRows limits the candidate rows that are read at a time, including those of candidates that are gone.
+	maxCandidateRows = 32
+	// candidateExpiry is how long a candidate counts as live after its row was last seen to change. It allows for two
+	// missed announcements.
+	candidateExpiry = 50 * time.Second
 )
 
-// followCandidates keeps the candidates of the hall until ctx ends.
-func (b *Book) followCandidates(ctx context.Context, s store.Store, log *zap.Logger) {
-	interval.Sleep(ctx, candidatesFirst+b.Phase(candidatesSpread))
-	for pause := b.firstPause(); ctx.Err() == nil; pause = announceEvery {
+// refreshCandidatesPeriodically calls refreshCandidates at every announceInterval until ctx ends.
+func (b *Book) refreshCandidatesPeriodically(ctx context.Context, s store.Store, log *zap.Logger) {
+	interval.Sleep(ctx, candidatesDelay+b.Phase(candidatesSpread))
+	for pause := b.firstInterval(); ctx.Err() == nil; pause = announceInterval {
 		if err := b.refreshCandidates(ctx, s, log); err != nil {
-			log.Warn("relay: unable to read who is fit to schedule", logsink.Error(err))
+			log.Warn("relay: unable to refresh the candidates of the hall; retrying at the next interval", logsink.Error(err))
 		}
 		interval.Sleep(ctx, pause)
 	}
 }
 
+// candidatePart returns the part of the store that holds the rows of the hall's candidates.
 func (b *Book) candidatePart() string { return "hall/" + b.Hall }
 
-// candidateKey names the box's row among the candidates of its hall: the fittest first, equally fit ones in the order in which boxes that start
-// together read the candidates, so that few announce themselves in vain.
+// candidateKey returns the key of this box's row among the candidates of its hall. The rows sort by takeover time, the
+// shortest first. Rows with equal times sort by the hash of the box's name. Boxes that start together also read the
+// candidates in the order of their hashes, so that few announce themselves and are then displaced by a better one.
 func (b *Book) candidateKey() store.Key {
 	return store.Key{Table: tableBoxes, Part: b.candidatePart(), Name: fmt.Sprintf("%010d/%016x/%s", b.Takeover.Milliseconds(), b.hash(), b.Box)}
 }
 
-// refreshCandidates reads the candidates of the hall, and announces the box as one where too few go before it.
+// refreshCandidates reads the candidates of the hall. If this box's rank is below candidatesWanted, it announces this
+// box as a candidate and deletes the rows of candidates that are gone.
 func (b *Book) refreshCandidates(ctx context.Context, s store.Store, log *zap.Logger) error {
-	page, err := s.Read(ctx, store.Range{Table: tableBoxes, Part: b.candidatePart(), Limit: candidatesRead})
+	page, err := s.Read(ctx, store.Range{Table: tableBoxes, Part: b.candidatePart(), Limit: maxCandidateRows})
 	if err != nil {
 		return err
 	}
-	gone := b.takeCandidates(page.Rows, log)
+	gone := b.updateCandidates(page.Rows, log)
 	if b.Rank() >= candidatesWanted {
 		return nil
 	}
@@ -65,15 +72,16 @@
 	return deleteRows(ctx, s, gone)
 }
 
-// takeCandidates replaces the list of candidates, and returns the deletion of the rows of those that are gone, or have a newer row.
-func (b *Book) takeCandidates(rows []store.Row, log *zap.Logger) *store.Transaction {
+// updateCandidates replaces the list of candidates. It returns a transaction that deletes the rows of candidates that
+// are gone or have a newer row.
+func (b *Book) updateCandidates(rows []store.Row, log *zap.Logger) *store.Transaction {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := map[string]*candidate{}
 	for _, c := range b.candidates {
 		known[c.row] = c
 	}
-	newest := map[string]*candidate{} // By box: one that has become less fit has two rows for a while.
+	newest := map[string]*candidate{} // By box. A box whose takeover time changed has two rows for a while.
 	for i := range rows {
 		a := decodeAnnouncement(&rows[i])
 		c := known[rows[i].Name]
@@ -90,14 +98,14 @@
 	}
 	gone := &store.Transaction{}
 	own := b.candidateKey().Name
-	b.candidates, b.ranked = nil, true
+	b.candidates, b.candidatesKnown = nil, true
 	for i := range rows {
 		row := &rows[i]
 		if row.Name == own {
 			continue
 		}
 		c := newest[decodeAnnouncement(row).box]
-		if c == nil || c.row != row.Name || !c.lives() {
+		if c == nil || c.row != row.Name || !c.isLive() {
 			deleteUnchanged(gone, row)
 		}
 		if c != nil && c.row == row.Name {
@@ -108,55 +116,57 @@
 	return gone
 }
 
-// logCandidates logs the candidates that live once others than before do.
+// logCandidates logs the names of the live candidates if the list of candidates differs from known.
 func (b *Book) logCandidates(known map[string]*candidate, log *zap.Logger) {
 	var names []string
 	changed := len(known) != len(b.candidates)
 	for _, c := range b.candidates {
 		changed = changed || known[c.row] == nil
-		if c.lives() {
+		if c.isLive() {
 			names = append(names, c.box)
 		}
 	}
 	if changed {
-		log.Info("relay: who is fit to schedule in the hall", zap.Strings("boxes", names))
+		log.Info("relay: the candidates of the hall changed", zap.Strings("boxes", names))
 	}
 }
 
-// lives reports whether the candidate has renewed its row lately.
-func (c *candidate) lives() bool { return time.Since(c.renewed) <= presumedGone }
+// isLive reports whether the candidate's row was seen to change within candidateExpiry.
+func (c *candidate) isLive() bool { return time.Since(c.renewed) <= candidateExpiry }
 
-// Ranked reports whether the candidates of the hall are known.
+// Ranked reports whether the candidates of the hall were read at least once.
 func (b *Book) Ranked() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.ranked
+	return b.candidatesKnown
 }
 
-// IsWatcher reports whether this box is one of those of its hall that watch the store for the others.
+// IsWatcher reports whether this box watches the store for the other boxes of its hall.
 func (b *Book) IsWatcher() bool { return b.Ranked() && b.Rank() < b.Watchers }
 
-// Rank is the number of boxes of the hall that come before this one as schedulers: 0 before the candidates are known.
+// Rank returns the number of live candidates of the hall that are preferred to this box as scheduler. It returns 0
+// while the candidates are not known.
 func (b *Book) Rank() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.candidateKey().Name
 	before := 0
 	for _, c := range b.candidates {
-		if c.row < own && c.lives() {
+		if c.row < own && c.isLive() {
 			before++
 		}
 	}
 	return before
 }
 
-// watcher returns the address of one of the boxes that watch the store for the others of the hall, by turns with n; empty where none is known.
-func (b *Book) watcher(n int) string {
+// watcherAddress returns the address of a box that watches the store for the hall; successive values of n go through
+// all of them in turn. It returns an empty string if none is known.
+func (b *Book) watcherAddress(n int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var addresses []string
 	for _, c := range b.candidates {
-		if len(addresses) < b.Watchers && c.address != "" && c.lives() {
+		if len(addresses) < b.Watchers && c.address != "" && c.isLive() {
 			addresses = append(addresses, c.address)
 		}
 	}
--- a/internal/relay/http.go
+++ b/internal/relay/http.go
@@ -14,7 +14,7 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// Paths of the calls between boxes.
+// URL paths of the calls between boxes.
 const (
 	pathCommit = "/v1/store/commit"
 	pathRead   = "/v1/store/read"
@@ -23,42 +23,42 @@
 )
 
 const (
-	// peerTimeout bounds a call through another box: that box gives up its own call to the store after 1.2 s.
+	// peerTimeout limits a call through another box. That box ends its own call to the store after 1.2 s.
 	peerTimeout = 1400 * time.Millisecond
-	// maxMessageBytes bounds a message; the store's transactions and pages are of 1 MB at most.
+	// maxMessageBytes limits a request or a response. The store's transactions and pages have 1 MB at most.
 	maxMessageBytes = 2 << 20
 )
 
-// watch is a wait for changes as it is sent between boxes.
-type watch struct {
+// watchRequest is the body of a call of Watch.
+type watchRequest struct {
 	Table string
 	Since int64
 	Wait  time.Duration
 }
 
-// committed is the answer to a transaction.
-type committed struct {
+// commitReply is the answer to a call of Commit.
+type commitReply struct {
 	Version  int64
-	Conflict *store.Conflict // Set where the conditions did not hold.
+	Conflict *store.Conflict // Set if the conditions did not hold.
 }
 
-// HTTP reaches other boxes over HTTP; it implements Network. Fill in the client before use.
+// HTTP calls other boxes over HTTP; it implements Network. Set Client before use.
 type HTTP struct {
 	Client *http.Client
 }
 
 // Peer implements Network.
-func (h *HTTP) Peer(address string) store.Peer { return &remote{address, h.Client} }
+func (h *HTTP) Peer(address string) store.Peer { return &peerClient{address, h.Client} }
 
-// remote is the store behind another box.
-type remote struct {
+// peerClient calls the store through another box; it implements store.Peer.
+type peerClient struct {
 	address string
 	client  *http.Client
 }
 
 // Commit implements store.Store.
-func (r *remote) Commit(ctx context.Context, tx *store.Transaction) (int64, error) {
-	var answer committed
+func (r *peerClient) Commit(ctx context.Context, tx *store.Transaction) (int64, error) {
+	var answer commitReply
 	if err := r.call(ctx, pathCommit, tx, &answer, 0); err != nil {
 		return 0, err
 	}
@@ -69,38 +69,39 @@
 }
 
 // Read implements store.Store.
-func (r *remote) Read(ctx context.Context, in store.Range) (page store.Page, err error) {
+func (r *peerClient) Read(ctx context.Context, in store.Range) (page store.Page, err error) {
 	err = r.call(ctx, pathRead, in, &page, 0)
 	return page, err
 }
 
 // Watch implements store.Store.
-func (r *remote) Watch(ctx context.Context, table string, since int64, wait time.Duration) (page store.Page, err error) {
-	err = r.call(ctx, pathWatch, watch{table, since, wait}, &page, wait)
+func (r *peerClient) Watch(ctx context.Context, table string, since int64, wait time.Duration) (page store.Page, err error) {
+	err = r.call(ctx, pathWatch, watchRequest{table, since, wait}, &page, wait)
 	return page, err
 }
 
 // Copy implements store.Replica.
-func (r *remote) Copy(ctx context.Context, q store.Query) (found store.Copy, err error) {
+func (r *peerClient) Copy(ctx context.Context, q store.Query) (found store.Copy, err error) {
 	err = r.call(ctx, pathCopy, q, &found, q.Wait)
 	return found, err
 }
 
-// call sends a message and decodes the answer; its errors are those of package store.
-func (r *remote) call(ctx context.Context, path string, message, answer any, wait time.Duration) error {
+// call sends a message and decodes the response into answer. It waits for at most wait plus peerTimeout. Errors of the
+// network and of the other box are returned as those of package store.
+func (r *peerClient) call(ctx context.Context, path string, message, answer any, wait time.Duration) error {
 	raw, err := cbor.Marshal(message)
 	if err != nil {
-		return errors.Wrap(err, "relay: unable to encode a call")
+		return errors.Wrap(err, "relay: unable to encode the request")
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+peerTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+path, bytes.NewReader(raw))
 	if err != nil {
-		return errors.Wrap(err, "relay: unable to build a call")
+		return errors.Wrap(err, "relay: unable to build the request")
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return callError(err)
+		return transportError(err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxMessageBytes))
@@ -110,21 +111,22 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 		if err := cbor.Unmarshal(body, answer); err != nil {
-			return errors.WithMessage(store.ErrUnknown, "relay: unable to decode an answer")
+			return errors.WithMessage(store.ErrUnknown, "relay: unable to decode the response of another box")
 		}
 		return nil
 	case http.StatusServiceUnavailable:
 		return store.ErrUnreachable
 	case http.StatusTooManyRequests, http.StatusBadRequest:
-		return errors.WithMessage(store.ErrRefused, "relay: the store refused another box")
+		return errors.WithMessage(store.ErrRefused, "relay: the other box or the store refused the call")
 	case http.StatusGone:
 		return store.ErrHistoryGone
 	}
-	return errors.WithMessagef(store.ErrUnknown, "relay: status %d", resp.StatusCode)
+	return errors.WithMessagef(store.ErrUnknown, "relay: another box answered with status %d", resp.StatusCode)
 }
 
-// callError is the error of a call that got no answer; one for which no connection came about surely did nothing.
-func callError(err error) error {
+// transportError returns the error for a call without a response: store.ErrUnreachable if no connection was made, so
+// that the call did nothing, and store.ErrUnknown otherwise.
+func transportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return errors.WithMessage(store.ErrUnreachable, err.Error())
@@ -132,12 +134,12 @@
 	return errors.WithMessage(store.ErrUnknown, err.Error())
 }
 
-// Handler serves a store to other boxes.
+// Handler returns an HTTP handler through which other boxes call s.
 func Handler(s store.Peer) http.Handler {
 	mux := chi.NewRouter()
 	mux.Post(pathCommit, func(w http.ResponseWriter, r *http.Request) {
 		var tx store.Transaction
-		if !receive(w, r, &tx) {
+		if !decodeRequest(w, r, &tx) {
 			return
 		}
 		version, err := s.Commit(r.Context(), &tx)
@@ -145,37 +147,37 @@
 		if errors.As(err, &conflict) {
 			err = nil
 		}
-		reply(w, committed{version, conflict}, err)
+		writeReply(w, commitReply{version, conflict}, err)
 	})
 	mux.Post(pathRead, func(w http.ResponseWriter, r *http.Request) {
 		var in store.Range
-		if !receive(w, r, &in) {
+		if !decodeRequest(w, r, &in) {
 			return
 		}
 		page, err := s.Read(r.Context(), in)
-		reply(w, page, err)
+		writeReply(w, page, err)
 	})
 	mux.Post(pathWatch, func(w http.ResponseWriter, r *http.Request) {
-		var in watch
-		if !receive(w, r, &in) {
+		var in watchRequest
+		if !decodeRequest(w, r, &in) {
 			return
 		}
 		page, err := s.Watch(r.Context(), in.Table, in.Since, in.Wait)
-		reply(w, page, err)
+		writeReply(w, page, err)
 	})
 	mux.Post(pathCopy, func(w http.ResponseWriter, r *http.Request) {
 		var q store.Query
-		if !receive(w, r, &q) {
+		if !decodeRequest(w, r, &q) {
 			return
 		}
 		found, err := s.Copy(r.Context(), q)
-		reply(w, found, err)
+		writeReply(w, found, err)
 	})
 	return mux
 }
 
-// receive decodes a message; one that can't be read is refused.
-func receive(w http.ResponseWriter, r *http.Request, into any) bool {
+// decodeRequest decodes the body of a request. It reports whether that succeeded; otherwise it answers with status 400.
+func decodeRequest(w http.ResponseWriter, r *http.Request, into any) bool {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 	if err == nil {
 		err = cbor.Unmarshal(raw, into)
@@ -186,8 +188,8 @@
 	return err == nil
 }
 
-// reply sends an answer, or the status of an error of package store.
-func reply(w http.ResponseWriter, answer any, err error) {
+// writeReply sends an answer, or the HTTP status that stands for an error of package store.
+func writeReply(w http.ResponseWriter, answer any, err error) {
 	switch {
 	case errors.Is(err, store.ErrUnreachable):
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -203,6 +205,6 @@
 			http.Error(w, "relay: unable to encode an answer", http.StatusInternalServerError)
 			return
 		}
-		_, _ = w.Write(raw) // A box that left reads nothing.
+		_, _ = w.Write(raw) // The caller may have closed the connection.
 	}
 }
--- a/internal/relay/http_test.go
+++ b/internal/relay/http_test.go
@@ -13,7 +13,7 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// fakeStore answers every call alike and remembers what it was asked.
+// fakeStore answers every call with the same data or error, and records the arguments of the last call.
 type fakeStore struct {
 	err   error
 	page  store.Page
@@ -44,14 +44,14 @@
 	return f.copy, f.err
 }
 
-// overHTTP returns the store behind a box that passes calls on to f.
+// overHTTP returns a client of a box that forwards calls to f over HTTP.
 func overHTTP(t *testing.T, f *fakeStore) store.Peer {
 	server := httptest.NewServer(Handler(f))
 	t.Cleanup(server.Close)
 	return (&HTTP{Client: server.Client()}).Peer(strings.TrimPrefix(server.URL, "http://"))
 }
 
-func TestCallsArriveWhole(t *testing.T) {
+func TestCallsArriveUnchanged(t *testing.T) {
 	key := store.Key{Table: "t", Part: "p", Name: "n"}
 	f := &fakeStore{page: store.Page{Rows: []store.Row{{Key: key, Value: []byte{0, 255}, Version: 3, Deleted: true}}, More: true, Version: 9}}
 	s := overHTTP(t, f)
@@ -83,7 +83,7 @@
 	quicktest.Assert(t, f.query, quicktest.Equals, q)
 }
 
-func TestErrorsKeepTheirMeaning(t *testing.T) {
+func TestErrorsKeepTheirKind(t *testing.T) {
 	for _, want := range []error{store.ErrRefused, store.ErrUnreachable, store.ErrUnknown, store.ErrHistoryGone} {
 		s := overHTTP(t, &fakeStore{err: errors.WithMessage(want, "why")})
 		_, err := s.Commit(context.Background(), &store.Transaction{})
@@ -102,8 +102,9 @@
 	quicktest.Assert(t, conflict.Rows, quicktest.DeepEquals, rows)
 }
 
-// TestSurelyNotDone: only what surely did nothing may be called refused, as the call is then made elsewhere.
-func TestSurelyNotDone(t *testing.T) {
+// TestRefusedOnlyIfNothingDone guards against a call that is repeated on another path although it may have taken
+// effect. Only an error after which the call surely did nothing may be store.ErrRefused.
+func TestRefusedOnlyIfNothingDone(t *testing.T) {
 	for status, want := range map[int]error{
 		http.StatusBadRequest: store.ErrRefused, http.StatusServiceUnavailable: store.ErrRefused,
 		http.StatusInternalServerError: store.ErrUnknown, http.StatusGatewayTimeout: store.ErrUnknown, http.StatusNotFound: store.ErrUnknown,
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay keeps a box in touch with the platform's store while the box's own path to it is out: calls then go
-// through another box. A box passes on calls of others only over its own path, so a call takes one hop at most.
+// Package relay lets a box call the platform's store through another box while its direct path to the store is down. A
+// box forwards the calls of others only over its own direct path, so that a call takes one hop at most.
 package relay
 
 import (
@@ -14,62 +14,65 @@
 	"go.uber.org/zap"
 )
 
-// Names of the two paths, for logs and figures.
+// Names of the paths to the store, for logs and metrics.
 const (
-	PathDirect = "store_direct" // The box's own.
-	PathAny    = "store"        // Its own or another box's.
+	PathDirect = "store_direct" // The box's direct path.
+	PathAny    = "store"        // The direct path or one through another box.
 )
 
-// Network reaches the stores that other boxes pass calls on to.
+// Network gives access to the store through other boxes.
 type Network interface {
-	// Peer returns the store behind a box's address.
+	// Peer returns the store as it is reached through the box at an address.
 	Peer(address string) store.Peer
 }
 
-// Store is the platform's store over the box's own path, or over other boxes while that one is out. Fill in the exported
-// fields before use.
+// Store calls the platform's store over the direct path, or through other boxes while that path is down. Set the
+// exported fields before use.
 type Store struct {
 	Direct  Watched
-	Network Network // nil for no other boxes.
+	Network Network // nil to call no other boxes.
 	Book    Book
 	Log     *zap.Logger
-	Figures *measure.Figures // nil for none.
+	Figures *measure.Figures // May be nil.
 
-	probes int // Tries so far.
+	probes int // Number of probes so far.
 }
 
 const (
-	// probeParts is the number of parts that are tried in turn.
-	probeParts = 16
-	// probeEvery is how often a box whose own path is out tries it: its return matters little while others pass calls on.
-	probeEvery = 300 * time.Millisecond
-	// probeTimeout bounds such a try; the store at its slowest answers after about 400 ms.
+	// probedParts is the number of parts that the probes read from in turn.
+	probedParts = 16
+	// probeInterval is the time between probes of a direct path that is down. It need not be shorter, as other boxes
+	// forward calls meanwhile.
+	probeInterval = 300 * time.Millisecond
+	// probeTimeout limits a probe. The store at its slowest answers after about 400 ms.
 	probeTimeout = 700 * time.Millisecond
-	// mostPeers bounds the boxes that are tried until one passes a call on: where a third of the boxes are cut off, six in a row
-	// without a path are one case in 700, and the store itself is likely out. With two, one call in nine found none and
-	// went over the own path after all; reads then took 1.2 s, and the scheduler saw jobs 3 s late.
-	mostPeers = 6
-	// mostRefusals bounds the boxes over which the store itself refuses a call until that counts as its answer: a store that has too much
-	// to do gets no more calls from it. One box may have been turned away without knowing it yet.
-	mostRefusals = 2
+	// maxPeerAttempts limits the boxes that are tried for one call. If a third of the boxes are cut off, all six are in
+	// one case in 700, so that six failures mean that the store itself is likely down. With two attempts, one call in
+	// nine found no path and waited on the direct one; reads took 1.2 s, and the scheduler saw jobs 3 s late.
+	maxPeerAttempts = 6
+	// maxRefusals is the number of boxes through which the store itself must refuse a call before the refusal is
+	// returned, so that an overloaded store gets no further calls. One refusal is not enough: that box may be cut off
+	// and not have noticed yet.
+	maxRefusals = 2
 )
 
-// Run tries the box's own path while it is out, and keeps the addresses of the boxes, until ctx ends.
+// Run probes the direct path while it is down, and keeps the directory of boxes up to date, until ctx ends.
 func (s *Store) Run(ctx context.Context) {
-	go interval.Every(ctx, probeEvery, s.probe)
-	s.Book.keep(ctx, s, s.Log)
+	go interval.Every(ctx, probeInterval, s.probe)
+	s.Book.run(ctx, s, s.Log)
 }
 
+// probe reads a row over the direct path if that path is down. Direct records the outcome.
 func (s *Store) probe(ctx context.Context) {
 	if s.Direct.Healthy() && !s.Direct.Suspect() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	// Any part may be out by itself, so each try asks another one; there need not be a row.
-	part := partBoxes + "/" + strconv.Itoa(s.probes%probeParts)
+	// A single part may be down, so each probe reads from another one. The row need not exist.
+	part := partBoxes + "/" + strconv.Itoa(s.probes%probedParts)
 	s.probes++
-	_, _ = s.Direct.Read(ctx, store.Range{Table: tableBoxes, Part: part, Limit: 1}) // What became of it is taken in by Direct.
+	_, _ = s.Direct.Read(ctx, store.Range{Table: tableBoxes, Part: part, Limit: 1}) // Direct has recorded the error.
 }
 
 // Commit implements store.Store.
@@ -99,8 +102,8 @@
 	return page, err
 }
 
-// call makes a call over the box's own path, or over other boxes if that path is out or its last call got no answer. A call that may have taken effect
-// is not repeated here: that is for the caller to judge.
+// call makes a call over the direct path, or through other boxes if that path is down or its last call got no answer.
+// It does not repeat a call that may have taken effect; the caller decides about that.
 func (s *Store) call(ctx context.Context, f func(on store.Store) error) error {
 	if s.Direct.Healthy() && !s.Direct.Suspect() {
 		err := f(&s.Direct)
@@ -113,39 +116,42 @@
 		began := time.Now()
 		err := f(s.Network.Peer(p.address))
 		s.Figures.Took("relay_call", time.Since(began))
-		s.Book.note(ctx, p, err, s.Log)
+		s.Book.recordResult(ctx, p, err, s.Log)
 		if !errors.Is(err, store.ErrRefused) {
 			return err
 		}
 		if !errors.Is(err, store.ErrUnreachable) {
 			refusals++
 		}
-		if refusals >= mostRefusals {
+		if refusals >= maxRefusals {
 			return err
 		}
 	}
-	return f(&s.Direct) // Nobody else reaches the store either; it may be back.
+	return f(&s.Direct) // No other box reaches the store; the direct path may work again.
 }
 
+// peers returns the boxes through which a call is tried, in order.
 func (s *Store) peers() []*peer {
 	if s.Network == nil {
 		return nil
 	}
-	return s.Book.choose(mostPeers)
+	return s.Book.choosePeers(maxPeerAttempts)
 }
 
-// Shared returns what other boxes may call through this one: the store over the box's own path alone, and what the box itself has read last.
+// Shared returns what this box serves to others: calls to the store over the direct path alone, and copies of the pages
+// that this box has read itself, from read.
 func (s *Store) Shared(read store.Replica) store.Peer { return &shared{read, &s.Direct, s.Figures} }
 
-// shared refuses at once while the box's own path is out, or its last call got no answer.
+// shared forwards the calls of other boxes to the direct path. It refuses them at once while that path is down or its
+// last call got no answer.
 type shared struct {
 	store.Replica
 	direct  *Watched
 	figures *measure.Figures
 }
 
-// take reports whether a call is passed on.
-func (s *shared) take() error {
+// checkDirectPath returns store.ErrUnreachable if calls can't be forwarded now.
+func (s *shared) checkDirectPath() error {
 	if !s.direct.Healthy() || s.direct.Suspect() {
 		s.figures.Count("relay_refused")
 		return store.ErrUnreachable
@@ -156,7 +162,7 @@
 
 // Commit implements store.Store.
 func (s *shared) Commit(ctx context.Context, tx *store.Transaction) (int64, error) {
-	if err := s.take(); err != nil {
+	if err := s.checkDirectPath(); err != nil {
 		return 0, err
 	}
 	return s.direct.Commit(ctx, tx)
@@ -164,7 +170,7 @@
 
 // Read implements store.Store.
 func (s *shared) Read(ctx context.Context, r store.Range) (store.Page, error) {
-	if err := s.take(); err != nil {
+	if err := s.checkDirectPath(); err != nil {
 		return store.Page{}, err
 	}
 	return s.direct.Read(ctx, r)
@@ -172,7 +178,7 @@
 
 // Watch implements store.Store.
 func (s *shared) Watch(ctx context.Context, table string, since int64, wait time.Duration) (store.Page, error) {
-	if err := s.take(); err != nil {
+	if err := s.checkDirectPath(); err != nil {
 		return store.Page{}, err
 	}
 	return s.direct.Watch(ctx, table, since, wait)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -15,14 +15,14 @@
 	"go.uber.org/zap"
 )
 
-// site is boxes on the emulator that pass calls on for each other.
+// site is a group of boxes on the emulator that forward calls for each other.
 type site struct {
 	store   *emulator.Store
 	network emulator.Network
 	boxes   []*Store
 }
 
-// newSite starts n boxes, box-0 and so on, and waits until they know each other.
+// newSite starts n boxes, named box-0 and so on, and waits until they know each other's addresses.
 func newSite(ctx context.Context, n int) *site {
 	s := &site{store: emulator.NewStore(1)}
 	for i := range n {
@@ -35,17 +35,17 @@
 		s.boxes = append(s.boxes, b)
 		go b.Run(ctx)
 	}
-	time.Sleep(announceFirst + time.Second)
+	time.Sleep(firstReadDelay + time.Second)
 	return s
 }
 
-// inSite runs f in a bubble with three boxes.
-func inSite(t *testing.T, f func(ctx context.Context, t *testing.T, s *site)) {
+// runWithThreeBoxes runs f on a site of three boxes, in a synctest bubble.
+func runWithThreeBoxes(t *testing.T, f func(ctx context.Context, t *testing.T, s *site)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		f(ctx, t, newSite(ctx, 3))
 		cancel()
-		time.Sleep(time.Minute) // What was begun ends.
+		time.Sleep(time.Minute) // Lets the goroutines end.
 	})
 }
 
@@ -54,25 +54,26 @@
 	return err
 }
 
-func TestOwnPathFirstAndAgain(t *testing.T) {
-	inSite(t, func(ctx context.Context, t *testing.T, s *site) {
+func TestDirectPathIsPreferred(t *testing.T) {
+	runWithThreeBoxes(t, func(ctx context.Context, t *testing.T, s *site) {
 		s.store.Refuse("box-0")
 		for range 5 {
-			_ = write(ctx, s.boxes[0], "a") // The first may be refused.
+			_ = write(ctx, s.boxes[0], "a") // The first calls may be refused.
 		}
 		quicktest.Assert(t, s.boxes[0].Direct.Healthy(), quicktest.IsFalse)
 		quicktest.Assert(t, write(ctx, s.boxes[0], "b"), quicktest.IsNil)
 		s.store.SetUp()
-		time.Sleep(2 * probeEvery)
+		time.Sleep(2 * probeInterval)
 		quicktest.Assert(t, s.boxes[0].Direct.Healthy(), quicktest.IsTrue)
 		s.network.Cut("box-0")
-		quicktest.Assert(t, write(ctx, s.boxes[0], "c"), quicktest.IsNil) // No other box is needed any more.
+		quicktest.Assert(t, write(ctx, s.boxes[0], "c"), quicktest.IsNil) // No other box is needed.
 	})
 }
 
-// TestOneHop: a box whose own path is out passes nothing on, so that calls never go round.
-func TestOneHop(t *testing.T) {
-	inSite(t, func(ctx context.Context, t *testing.T, s *site) {
+// TestCallsTakeOneHopAtMost guards against calls that circle between boxes: a box whose direct path is down must
+// not forward the calls of others.
+func TestCallsTakeOneHopAtMost(t *testing.T) {
+	runWithThreeBoxes(t, func(ctx context.Context, t *testing.T, s *site) {
 		for _, box := range []string{"box-0", "box-1", "box-2"} {
 			s.store.Refuse(box)
 		}
@@ -83,8 +84,9 @@
 	})
 }
 
-// TestMostBoxesAreCutOffToo: three in four boxes have no path of their own either; one that has is found at once.
-func TestMostBoxesAreCutOffToo(t *testing.T) {
+// TestReachablePeerIsFoundAmongMany guards against calls that fail although some box reaches the store. Three in
+// four boxes are cut off from it; only the calls that a box needs to notice this may fail.
+func TestReachablePeerIsFoundAmongMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := newSite(ctx, 8)
@@ -98,15 +100,16 @@
 					failed++
 				}
 			}
-			quicktest.Check(t, failed <= failuresToDoubt, quicktest.IsTrue, quicktest.Commentf("box-%d: %d", i, failed))
+			quicktest.Check(t, failed <= maxFailures, quicktest.IsTrue, quicktest.Commentf("box-%d: %d", i, failed))
 		}
 		cancel()
-		time.Sleep(time.Minute) // What was begun ends.
+		time.Sleep(time.Minute) // Lets the goroutines end.
 	})
 }
 
-// TestARefusalOfTheStoreIsAnAnswer: a store that refuses everybody is asked for one write by three boxes at most, however many there are.
-func TestARefusalOfTheStoreIsAnAnswer(t *testing.T) {
+// TestStoreRefusalStopsForwarding guards against a store that is overloaded further by forwarded calls. It refuses
+// every box; one write may reach it over three boxes at most, however many there are.
+func TestStoreRefusalStopsForwarding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := newSite(ctx, 12)
@@ -128,20 +131,21 @@
 		made := calls() - before
 		quicktest.Check(t, made <= 3, quicktest.IsTrue, quicktest.Commentf("%d calls", made))
 		cancel()
-		time.Sleep(time.Minute) // What was begun ends.
+		time.Sleep(time.Minute) // Lets the goroutines end.
 	})
 }
 
-// TestBoxesThatFailRest: calls move on to a box that passes them on, and soon take no detour.
-func TestBoxesThatFailRest(t *testing.T) {
-	inSite(t, func(ctx context.Context, t *testing.T, s *site) {
+// TestFailingPeersAreSkipped guards against calls that keep waiting for a box that does not answer: after a failure
+// they must go through another box.
+func TestFailingPeersAreSkipped(t *testing.T) {
+	runWithThreeBoxes(t, func(ctx context.Context, t *testing.T, s *site) {
 		s.store.Refuse("box-0")
 		s.network.Cut("box-1")
 		time.Sleep(2 * time.Second)
 		slow := 0
 		for range 20 {
 			began := time.Now()
-			_ = write(ctx, s.boxes[0], "a") // Without an answer from box-1.
+			_ = write(ctx, s.boxes[0], "a") // box-1 does not answer.
 			if time.Since(began) > 100*time.Millisecond {
 				slow++
 			}
@@ -151,24 +155,25 @@
 	})
 }
 
-func TestBoxesThatAreLongGoneAreForgotten(t *testing.T) {
-	inSite(t, func(ctx context.Context, t *testing.T, s *site) {
-		old := strconv.FormatInt(time.Now().Add(-forgetAfter).UnixMilli()-1, 10)
+func TestStaleRowsAreDeleted(t *testing.T) {
+	runWithThreeBoxes(t, func(ctx context.Context, t *testing.T, s *site) {
+		old := strconv.FormatInt(time.Now().Add(-staleRowAge).UnixMilli()-1, 10)
 		for name, value := range map[string]string{"gone": "gone " + old, "odd": "no time"} {
 			key := store.Key{Table: tableBoxes, Part: partBoxes, Name: name}
 			_, err := s.boxes[0].Commit(ctx, &store.Transaction{Writes: []store.Row{{Key: key, Value: []byte(value)}}})
 			quicktest.Assert(t, err, quicktest.IsNil)
 		}
-		time.Sleep(announceEvery + time.Second)
+		time.Sleep(announceInterval + time.Second)
 		page, err := s.boxes[1].Read(ctx, store.Range{Table: tableBoxes, Part: partBoxes})
 		quicktest.Assert(t, err, quicktest.IsNil)
 		quicktest.Assert(t, page.Rows, quicktest.HasLen, 3)
-		quicktest.Assert(t, s.boxes[0].Book.choose(10), quicktest.HasLen, 2)
+		quicktest.Assert(t, s.boxes[0].Book.choosePeers(10), quicktest.HasLen, 2)
 	})
 }
 
-// TestBookDoesNotGrow holds that what a box calls, reads and keeps of the others is the same at 50, 200 and 800 boxes, all of one hall, that start together.
-func TestBookDoesNotGrow(t *testing.T) {
+// TestPeerDirectoryDoesNotGrow guards against costs for each box that grow with the number of boxes. 50, 200 and
+// 800 boxes of one hall start together; what each box reads, writes and keeps must stay within the same limits.
+func TestPeerDirectoryDoesNotGrow(t *testing.T) {
 	for _, boxes := range []int{50, 200, 800} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -184,7 +189,7 @@
 					all[name] += n
 				}
 				comment := quicktest.Commentf("box %d of %d: %v", i, boxes, counted)
-				quicktest.Check(t, len(b.Book.choose(boxes)), quicktest.Equals, neighbours, comment)
+				quicktest.Check(t, len(b.Book.choosePeers(boxes)), quicktest.Equals, peersKept, comment)
 				quicktest.Check(t, counted["read_boxes"] <= 32, quicktest.IsTrue, comment)
 				quicktest.Check(t, counted["bytes_read_boxes"] <= 10<<10, quicktest.IsTrue, comment)
 			}
@@ -192,29 +197,31 @@
 			quicktest.Check(t, low, quicktest.Equals, candidatesWanted, comment)
 			quicktest.Check(t, all["commit_boxes"] <= int64(11*boxes+100), quicktest.IsTrue, comment)
 			cancel()
-			time.Sleep(time.Minute) // What was begun ends.
+			time.Sleep(time.Minute) // Lets the goroutines end.
 		})
 	}
 }
 
-// TestBoxesAreRanked ranks the fit before the weak and equals by name, and leaves out those that no longer announce themselves.
-func TestBoxesAreRanked(t *testing.T) {
-	inSite(t, func(_ context.Context, t *testing.T, s *site) {
+// TestCandidatesAreRanked guards against a wrong order of candidates: shorter takeover times come first, then the
+// order of the boxes' hashes. Candidates that no longer announce themselves must not count.
+func TestCandidatesAreRanked(t *testing.T) {
+	runWithThreeBoxes(t, func(_ context.Context, t *testing.T, s *site) {
 		s.boxes[0].Book.Takeover = time.Second
-		time.Sleep(2*announceEvery + time.Second)
+		time.Sleep(2*announceInterval + time.Second)
 		quicktest.Assert(t, s.boxes[0].Book.Rank(), quicktest.Equals, 2)
 		quicktest.Assert(t, s.boxes[1].Book.Rank(), quicktest.Equals, 0)
 		quicktest.Assert(t, s.boxes[2].Book.Rank(), quicktest.Equals, 1)
 		s.store.Cut("box-1")
 		s.network.Cut("box-1")
-		time.Sleep(presumedGone + 2*announceEvery)
+		time.Sleep(candidateExpiry + 2*announceInterval)
 		quicktest.Assert(t, s.boxes[2].Book.Rank(), quicktest.Equals, 0)
 	})
 }
 
-// TestCallsAreCountedByTable tells the calls to the store, and the bytes of their rows, apart by what they are for.
+// TestCallsAreCountedByTable guards against calls to the store, or bytes of rows, that are counted under the wrong
+// table.
 func TestCallsAreCountedByTable(t *testing.T) {
-	inSite(t, func(ctx context.Context, t *testing.T, s *site) {
+	runWithThreeBoxes(t, func(ctx context.Context, t *testing.T, s *site) {
 		b := s.boxes[0]
 		before := b.Direct.Figures.Counters(PathDirect + "_")
 		key := store.Key{Table: "t", Name: "n"}
--- a/internal/relay/watched.go
+++ b/internal/relay/watched.go
@@ -13,85 +13,87 @@
 )
 
 const (
-	// failuresToDoubt is how many calls in a row must fail before a box counts the store as out of reach; one lost answer
-	// among many says nothing.
-	failuresToDoubt = 2
-	// silenceToDoubt is how long calls may be under way without any answer before that: the store at its slowest answers
-	// after about 400 ms.
-	silenceToDoubt = 700 * time.Millisecond
-	// refusalToDoubt is how long ago the last answer must be for failures to count: while others are answered, lost answers
-	// and refusals of a part that has too much to do say nothing of the whole store.
-	refusalToDoubt = 200 * time.Millisecond
+	// maxFailures is the number of failed calls in a row after which the store counts as unreachable. It is more than one
+	// because single answers get lost.
+	maxFailures = 2
+	// maxSilence is how long there may be no answer to any call. After that, one failure or one call that is in flight for
+	// as long makes the store count as unreachable. The store at its slowest answers after about 400 ms.
+	maxSilence = 700 * time.Millisecond
+	// failureQuietTime is how long no call may have been answered before failures count. While other calls are answered,
+	// lost answers and refusals by an overloaded part don't mean that the whole store is unreachable.
+	failureQuietTime = 200 * time.Millisecond
 )
 
-// A transaction whose answer was lost is best repeated as soon as an answer should have come: the conditions see to it
-// that it takes effect once.
+// Timeouts of transactions and of reads of a single row. They are short, so that a call whose answer was lost is
+// repeated soon. Repeating a transaction is safe: its conditions ensure that it takes effect once.
 const (
-	// patienceFactor is how many times longer than the slowest answer lately a transaction may take.
-	patienceFactor = 4
-	// patienceLeast and patienceMost bound that: usual answers take 5 ms, and those that wait their turn behind others some
-	// tens; the adapter gives up after 1.2 s.
-	patienceLeast = 250 * time.Millisecond
-	patienceMost  = 1200 * time.Millisecond
-	// readPatienceLeast is the same as patienceLeast for the read of a single row, which may wait behind pages on a thin link.
-	readPatienceLeast = 400 * time.Millisecond
-	// latencyDecay is how much of the slowest answer is remembered from one answer to the next, and latencyGrowth what a
-	// lost answer adds, so that half of the answers may be lost without the patience growing.
+	// timeoutFactor is the ratio of the timeout to the recent latency.
+	timeoutFactor = 4
+	// minTimeout and maxTimeout limit the timeout. Most answers take 5 ms, and those that queue behind other calls some
+	// tens of ms; the adapter gives up after 1.2 s.
+	minTimeout = 250 * time.Millisecond
+	maxTimeout = 1200 * time.Millisecond
+	// minReadTimeout is the minimum for the read of a single row, which may queue behind pages on a slow link.
+	minReadTimeout = 400 * time.Millisecond
+	// latencyDecay is the factor by which the recorded latency falls at most with each answer, and latencyGrowth the
+	// factor by which it grows with each failed call. If half of the calls fail, the timeout does not grow.
 	latencyDecay  = 0.5
 	latencyGrowth = 1.5
 )
 
-// Watched passes calls on and learns from them whether the store can be reached.
+// Watched wraps a store. From the outcome of the calls it derives whether the store can be reached, and the timeout of
+// further calls.
 type Watched struct {
 	store.Store
-	Path    string // What is watched, for logs and figures.
+	Path    string // Name of the path to the store, for logs and metrics.
 	Log     *zap.Logger
-	Figures *measure.Figures // nil for none.
-
-	mu       sync.Mutex
-	latency  time.Duration         // What answers take: the slowest lately.
-	failures int                   // In a row.
-	silent   bool                  // The last call that ended got no answer.
-	answered time.Time             // When the last answer came.
-	underWay map[*time.Time]string // Begin of each call without an answer yet.
-	doubted  bool
+	Figures *measure.Figures // May be nil.
+
+	mu             sync.Mutex
+	latency        time.Duration         // Recent latency: the slowest answer, decaying with each faster one.
+	failures       int                   // Number of failed calls in a row.
+	lastUnanswered bool                  // The last call ended without an answer.
+	lastAnswer     time.Time             // Time of the last answer.
+	inFlight       map[*time.Time]string // Start of each call in flight, and its kind.
+	unhealthy      bool                  // State that was logged last.
 }
 
-// Healthy reports whether a call is likely to be answered.
+// Healthy reports whether the store can be reached, judging by the last calls. It is false before the first answer.
 func (w *Watched) Healthy() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.healthy()
 }
 
-// Suspect reports whether the last call got no answer, and none has come for as long as answers take: the next call is better made elsewhere, where that
-// is possible.
+// Suspect reports whether the last call got no answer, and no other call was answered within the current timeout. The
+// next call should then take another path, if there is one.
 func (w *Watched) Suspect() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.silent && time.Since(w.answered) > w.usual()
+	return w.lastUnanswered && time.Since(w.lastAnswer) > w.timeoutLocked()
 }
 
-// Out reports whether nothing has been answered for a while: a call now would be in vain. A store of which only some parts
-// are out is not.
+// Out reports whether the store is unhealthy and no call was answered for maxSilence, so that a new call would likely
+// fail. It returns false if only some parts of the store are down.
 func (w *Watched) Out() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.healthy() && time.Since(w.answered) > silenceToDoubt
+	return !w.healthy() && time.Since(w.lastAnswer) > maxSilence
 }
 
+// healthy implements Healthy; the caller holds mu.
 func (w *Watched) healthy() bool {
-	if w.answered.IsZero() || w.failures >= failuresToDoubt && time.Since(w.answered) > refusalToDoubt {
+	if w.lastAnswer.IsZero() || w.failures >= maxFailures && time.Since(w.lastAnswer) > failureQuietTime {
 		return false
 	}
-	if time.Since(w.answered) < silenceToDoubt {
+	if time.Since(w.lastAnswer) < maxSilence {
 		return true
 	}
 	if w.failures > 0 {
 		return false
 	}
-	for began := range w.underWay {
-		if time.Since(*began) > silenceToDoubt {
+	for began := range w.inFlight {
+		if time.Since(*began) > maxSilence {
 			return false
 		}
 	}
@@ -100,12 +102,12 @@
 
 // Commit implements store.Store.
 func (w *Watched) Commit(ctx context.Context, tx *store.Transaction) (int64, error) {
-	done := w.begin("commit", tableOf(tx))
-	patience := w.patience()
+	done := w.beginCall("commit", tableOf(tx))
+	timeout := w.timeout()
 	if tx.Patient {
-		patience = patienceMost
+		timeout = maxTimeout
 	}
-	within, cancel := context.WithTimeout(ctx, patience)
+	within, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	version, err := w.Store.Commit(within, tx)
 	done(ctx, err)
@@ -115,7 +117,8 @@
 	return version, err
 }
 
-// tableOf is the table that a transaction is counted under: that of its first row.
+// tableOf returns the table under which a transaction is counted: that of its first write or, without one, of its first
+// deletion.
 func tableOf(tx *store.Transaction) string {
 	for i := range tx.Writes {
 		return tx.Writes[i].Table
@@ -126,22 +129,22 @@
 	return ""
 }
 
-// patience is how long an answer to a transaction, or to the read of a single row, is waited for.
-func (w *Watched) patience() time.Duration {
+// timeout returns how long to wait for the answer to a transaction or to the read of a single row.
+func (w *Watched) timeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.usual()
+	return w.timeoutLocked()
 }
 
-// usual is the time within which answers come.
-func (w *Watched) usual() time.Duration {
-	return min(max(patienceFactor*w.latency, patienceLeast), patienceMost)
+// timeoutLocked implements timeout; the caller holds mu.
+func (w *Watched) timeoutLocked() time.Duration {
+	return min(max(timeoutFactor*w.latency, minTimeout), maxTimeout)
 }
 
-// learnLatency takes in how long an answer took, or that none came in that time.
-func (w *Watched) learnLatency(took time.Duration, failed bool) {
+// recordLatency updates the recent latency after a call that took a time; failed calls raise it by latencyGrowth.
+func (w *Watched) recordLatency(took time.Duration, failed bool) {
 	if failed {
-		w.latency = min(time.Duration(latencyGrowth*float64(w.latency)), patienceMost/patienceFactor)
+		w.latency = min(time.Duration(latencyGrowth*float64(w.latency)), maxTimeout/timeoutFactor)
 		return
 	}
 	w.latency = max(took, time.Duration(latencyDecay*float64(w.latency)))
@@ -149,11 +152,11 @@
 
 // Read implements store.Store.
 func (w *Watched) Read(ctx context.Context, r store.Range) (store.Page, error) {
-	done := w.begin("read", r.Table)
+	done := w.beginCall("read", r.Table)
 	within := ctx
-	if r.Limit == 1 { // A longer page may take a thin link long.
+	if r.Limit == 1 { // Longer pages may take long on a slow link.
 		var cancel context.CancelFunc
-		within, cancel = context.WithTimeout(ctx, max(w.patience(), readPatienceLeast))
+		within, cancel = context.WithTimeout(ctx, max(w.timeout(), minReadTimeout))
 		defer cancel()
 	}
 	page, err := w.Store.Read(within, r)
@@ -162,7 +165,8 @@
 	return page, err
 }
 
-// Watch implements store.Store. What becomes of it says nothing of the path: it waits for long, and an answer may be late for want of changes.
+// Watch implements store.Store. Its outcome does not affect the health of the path, as an answer may come late just
+// because there are no changes.
 func (w *Watched) Watch(ctx context.Context, table string, since int64, wait time.Duration) (store.Page, error) {
 	w.Figures.Count(w.Path + "_watch_" + table)
 	page, err := w.Store.Watch(ctx, table, since, wait)
@@ -170,46 +174,47 @@
 	return page, err
 }
 
-// countBytes counts the values of rows by their table.
+// countBytes adds the size of the rows' values to the metrics, by table.
 func (w *Watched) countBytes(what string, rows []store.Row) {
 	for i := range rows {
 		w.Figures.Add(w.Path+"_bytes_"+what+"_"+rows[i].Table, int64(len(rows[i].Value)))
 	}
 }
 
-// begin notes a call about a table; the function it returns takes in the outcome.
-func (w *Watched) begin(what, table string) func(ctx context.Context, err error) {
+// beginCall records the start of a call on a table. It returns the function that records its outcome.
+func (w *Watched) beginCall(what, table string) func(ctx context.Context, err error) {
 	began := time.Now()
 	w.Figures.Count(w.Path + "_" + what + "_" + table)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.underWay == nil {
-		w.underWay = map[*time.Time]string{}
+	if w.inFlight == nil {
+		w.inFlight = map[*time.Time]string{}
 	}
-	w.underWay[&began] = what
-	return func(ctx context.Context, err error) { w.end(ctx, &began, what, err) }
+	w.inFlight[&began] = what
+	return func(ctx context.Context, err error) { w.endCall(ctx, &began, what, err) }
 }
 
-func (w *Watched) end(ctx context.Context, began *time.Time, what string, err error) {
+// endCall records the outcome of a call: its duration, its error and whether the store can be reached.
+func (w *Watched) endCall(ctx context.Context, began *time.Time, what string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.underWay, began)
+	delete(w.inFlight, began)
 	failed := errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknown)
 	if failed && errors.Is(ctx.Err(), context.Canceled) {
-		return // The caller gave up; that says nothing of the store.
+		return // The caller cancelled the call; the store has not failed.
 	}
 	w.Figures.Took(w.Path+"_"+what, time.Since(*began))
-	w.learnLatency(time.Since(*began), failed)
-	w.silent = errors.Is(err, store.ErrUnknown)
+	w.recordLatency(time.Since(*began), failed)
+	w.lastUnanswered = errors.Is(err, store.ErrUnknown)
 	if failed {
 		w.Figures.Count(w.Path + "_" + what + "_failed")
 		w.failures++
 	} else {
-		w.failures, w.answered = 0, time.Now()
+		w.failures, w.lastAnswer = 0, time.Now()
 	}
-	if doubted := !w.healthy(); doubted != w.doubted {
-		w.doubted = doubted
-		w.Log.Warn("relay: whether the store can be reached", zap.String("path", w.Path), zap.Bool("reached", !doubted), zap.String("call", what),
+	if unhealthy := !w.healthy(); unhealthy != w.unhealthy {
+		w.unhealthy = unhealthy
+		w.Log.Warn("relay: the store became reachable or unreachable", zap.String("path", w.Path), zap.Bool("reached", !unhealthy), zap.String("call", what),
 			zap.Duration("took", time.Since(*began)), zap.Int("failures", w.failures), logsink.Error(err))
 	}
 }
