--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,4 +1,5 @@
-// Package entry takes, shows and cancels jobs. Every box is one; what it is told it writes to the store before it answers.
+// Package entry submits, shows and cancels jobs for clients. It runs on every box, and answers a submission or a
+// cancellation only after it is written to the store.
 package entry
 
 import (
@@ -19,23 +20,23 @@
 
 // Errors of calls.
 var (
-	// ErrNotReady says that the box has no configuration yet; nothing was done.
+	// ErrNotReady means that the box has no configuration yet and that nothing was done.
 	ErrNotReady = errors.New("entry: no configuration yet")
-	// ErrNoQueue says that no queue takes the call.
+	// ErrNoQueue means that no queue is configured for the host and path of the call.
 	ErrNoQueue = errors.New("entry: no such queue")
-	// ErrUnknownKey says that the key belongs to no workspace.
+	// ErrUnknownKey means that the key belongs to no workspace and the queue does not accept anonymous callers.
 	ErrUnknownKey = errors.New("entry: unknown key")
-	// ErrNoJob says that there is no such job.
+	// ErrNoJob means that the job does not exist or belongs to another workspace.
 	ErrNoJob = errors.New("entry: no such job")
-	// ErrUnavailable says that the store can't be reached and that nothing was done.
+	// ErrUnavailable means that the store can't be reached and that nothing was done.
 	ErrUnavailable = errors.New("entry: the store can't be reached")
-	// ErrClosed says that every hall is emptied: nothing was done, as nothing could start.
+	// ErrClosed means that every hall is emptied, so that no job could start, and that nothing was done.
 	ErrClosed = errors.New("entry: every hall is emptied")
-	// ErrUndecided says that the call may have taken effect or may do so later.
+	// ErrUndecided means that the call may have taken effect or may still do so.
 	ErrUndecided = errors.New("entry: no answer from the store")
 )
 
-// Invalid is the error of a job that can't be carried out.
+// Invalid is the error of a job that is not acceptable as submitted.
 type Invalid struct {
 	Reason string
 }
@@ -43,42 +44,44 @@
 // Error implements error.
 func (e *Invalid) Error() string { return e.Reason }
 
-// Entry serves calls of clients. All fields but the limits are required.
+// Entry serves the calls of clients. All exported fields but Figures are required.
 type Entry struct {
 	Ledger        *ledger.Ledger
 	Configuration func() *queue.Configuration
-	Healthy       func() bool // Whether the store's last calls were answered.
-	Out           func() bool // Whether the store has answered nothing for a while.
-	Closed        func() bool // Whether every hall is emptied, so that nothing can start.
+	Healthy       func() bool // Reports whether the store answered the last calls.
+	Out           func() bool // Reports whether the store has not answered any call for a while.
+	Closed        func() bool // Reports whether every hall is emptied, so that no job can start.
 	Log           *zap.Logger
-	Figures       *measure.Figures // nil for none.
+	Figures       *measure.Figures // May be nil.
 
-	mu        sync.Mutex
-	known     map[job.ID]string // Workspaces of jobs that are surely in the store.
-	summary   *ledger.Summary
-	summaryAt time.Time
+	mu         sync.Mutex
+	workspaces map[job.ID]string // Workspaces of jobs that are known to be in the store.
+	summary    *ledger.Summary   // Cached for Pending; read at summaryAt.
+	summaryAt  time.Time
 }
 
 const (
-	// storeRetry is the pause before a call that the store refused is tried again.
-	storeRetry = 60 * time.Millisecond
-	// storePatience bounds the tries of a call that a store refuses which otherwise answers, as it does while a part of it
-	// has too much to do: about half of what a client waits, so that it can still come back.
-	storePatience = 1200 * time.Millisecond
-	// summaryAge is how old the counts may be that a client is told: the pages allow 2 s in all, and the scheduler writes them within
-	// 0.3 s. At 0.5 s reading them was 6% of all calls to the store.
-	summaryAge = 1200 * time.Millisecond
-	// maxKnown bounds the jobs that are remembered as being in the store, about 100 bytes each.
-	maxKnown = 20000
+	// storeRetryPause is the pause before a call that failed at the store is repeated.
+	storeRetryPause = 60 * time.Millisecond
+	// storeRetryLimit is how long a call is repeated that the store refuses while it answers others, as it does when one
+	// of its parts is overloaded. It is about half the time that a client waits, so that the client can still retry.
+	storeRetryLimit = 1200 * time.Millisecond
+	// maxSummaryAge is the maximum age of the summary from which Pending answers. Clients may be shown counts that are up
+	// to 2 s old, and the scheduler takes up to 0.3 s to write them. At 0.5 s reading the summary was 6% of all calls to
+	// the store.
+	maxSummaryAge = 1200 * time.Millisecond
+	// maxRemembered limits the jobs that are remembered as being in the store. Each takes about 100 bytes.
+	maxRemembered = 20000
 )
 
-// Caller is who calls, at which queue.
+// Caller identifies the client of a call and the queue that it calls.
 type Caller struct {
 	Queue     *queue.Queue
 	Workspace string // Empty for an anonymous caller.
 }
 
-// Admit finds the queue of a call and checks its key.
+// Admit returns the queue and the workspace of a call, from its host, path and key. It returns ErrNotReady, ErrNoQueue
+// or ErrUnknownKey if the call is not admitted.
 func (e *Entry) Admit(host, path, key string) (Caller, error) {
 	c := e.Configuration()
 	if c == nil {
@@ -95,7 +98,8 @@
 	return Caller{q, workspace}, nil
 }
 
-// Submit accepts a job: once it returns nil the job is kept and will be carried out.
+// Submit submits a job. Once it returns nil, the job is stored and will be carried out, unless it is cancelled. It sets
+// the terms and the time of acceptance in r.
 func (e *Entry) Submit(ctx context.Context, c Caller, r *job.Request) error {
 	q := c.Queue
 	r.Terms = job.Terms{
@@ -104,14 +108,14 @@
 	}
 	r.Accepted = time.Now().UnixMilli()
 	began := time.Now()
-	if e.refuseClosed(ctx, r) {
+	if e.refusedAsEmptied(ctx, r) {
 		e.logCall("submit", r.ID, c, began, ErrClosed)
 		return ErrClosed
 	}
-	err := e.write(ctx, func(ctx context.Context) error { return e.Ledger.Submit(ctx, r) })
+	err := e.writeRepeatedly(ctx, func(ctx context.Context) error { return e.Ledger.Submit(ctx, r) })
 	e.logCall("submit", r.ID, c, began, err)
 	if errors.Is(err, ledger.ErrCancelled) {
-		return nil // It was cancelled before it came, and so it ends.
+		return nil // It was cancelled before it was submitted.
 	}
 	if errors.Is(err, ledger.ErrOther) {
 		return &Invalid{"the name belongs to another job"}
@@ -122,9 +126,9 @@
 	return err
 }
 
-// refuseClosed reports whether a job is to be refused because every hall is emptied. One that is to run later waits, and one that
-// was accepted before stays accepted.
-func (e *Entry) refuseClosed(ctx context.Context, r *job.Request) bool {
+// refusedAsEmptied reports whether a job must be refused because every hall is emptied. It returns false for a job with
+// a schedule, which can wait, and for one that was accepted before.
+func (e *Entry) refusedAsEmptied(ctx context.Context, r *job.Request) bool {
 	if !e.Closed() || r.Schedule.Times > 0 {
 		return false
 	}
@@ -135,18 +139,19 @@
 	return err == nil && kept == nil
 }
 
-// Cancel cancels a job, also one that has not come yet.
+// Cancel cancels a job. A job that is not submitted yet is cancelled in advance.
 func (e *Entry) Cancel(ctx context.Context, c Caller, id job.ID) error {
 	began := time.Now()
-	err := e.write(ctx, func(ctx context.Context) error { return e.Ledger.Cancel(ctx, id) })
+	err := e.writeRepeatedly(ctx, func(ctx context.Context) error { return e.Ledger.Cancel(ctx, id) })
 	e.logCall("cancel", id, c, began, err)
 	return err
 }
 
-// write carries out a write that may be repeated. A write that the store surely did not do is given up soon, so that the
-// client can go elsewhere. Once a try got no answer, only another answer can settle what became of it: it is repeated for
-// as long as the client waits, and counts as undecided after that.
-func (e *Entry) write(ctx context.Context, f func(ctx context.Context) error) error {
+// writeRepeatedly calls f, which may safely be repeated, until it succeeds or fails with an error that is not of the
+// store. If the store refuses every attempt, nothing was done: writeRepeatedly soon returns ErrUnavailable, so that the
+// client can try another box. Once an attempt got no answer, it may have taken effect. Then f is repeated until ctx
+// ends, and if no answer comes until then the error is ErrUndecided.
+func (e *Entry) writeRepeatedly(ctx context.Context, f func(ctx context.Context) error) error {
 	if e.Out() {
 		return ErrUnavailable
 	}
@@ -160,10 +165,10 @@
 		case !errors.Is(err, store.ErrRefused):
 			return err
 		}
-		if !undecided && (!e.Healthy() || time.Since(began) > storePatience) {
+		if !undecided && (!e.Healthy() || time.Since(began) > storeRetryLimit) {
 			return ErrUnavailable
 		}
-		if ctx.Err() != nil || !interval.Sleep(ctx, storeRetry) {
+		if ctx.Err() != nil || !interval.Sleep(ctx, storeRetryPause) {
 			break
 		}
 	}
@@ -173,13 +178,13 @@
 	return ErrUnavailable
 }
 
-// Status is what a caller is shown of a job.
+// Status is the state of a job as it is shown to a caller.
 type Status struct {
 	State  job.State
-	Reason string // Why it has failed, in words; empty for any other state, and where that can't be read now.
+	Reason string // Why the job failed; empty in other states, or if the reason can't be read now.
 }
 
-// Status returns how a job stands.
+// Status returns the state of a job and, if it failed, the reason. The errors are those of State.
 func (e *Entry) Status(ctx context.Context, c Caller, id job.ID) (Status, error) {
 	state, err := e.State(ctx, c, id)
 	status := Status{State: state}
@@ -188,29 +193,30 @@
 	}
 	failure, err := e.Ledger.Failure(ctx, id)
 	if err != nil {
-		e.Log.Warn("entry: no reason of a failure", zap.String("job", string(id)), logsink.Error(err))
+		e.Log.Warn("entry: unable to read why a job failed; answering without a reason", zap.String("job", string(id)), logsink.Error(err))
 	}
 	status.Reason = failure.Text()
 	return status, nil
 }
 
-// State returns the state that a job is in.
+// State returns the state of a job. The error is ErrNoJob or ErrUnavailable.
 func (e *Entry) State(ctx context.Context, c Caller, id job.ID) (job.State, error) {
 	began := time.Now()
 	state, err := e.state(ctx, c, id)
 	if err != nil && !errors.Is(err, ErrNoJob) {
-		e.Log.Warn("entry: no state", zap.String("job", string(id)), logsink.Error(err))
+		e.Log.Warn("entry: unable to read a job's state; answering that the store is unavailable", zap.String("job", string(id)), logsink.Error(err))
 		err = ErrUnavailable
 	}
-	e.figure("state", began, err)
+	e.countCall("state", began, err)
 	e.Log.Debug("entry: state", zap.String("job", string(id)), zap.Stringer("state", state), zap.Duration("took", time.Since(began)))
 	return state, err
 }
 
+// state implements State, with the errors of the ledger.
 func (e *Entry) state(ctx context.Context, c Caller, id job.ID) (job.State, error) {
 	workspace, known := e.workspaceOf(id)
 	if !known {
-		if err := e.learn(ctx, id); err != nil {
+		if err := e.loadWorkspace(ctx, id); err != nil {
 			return job.Queued, err
 		}
 		workspace, _ = e.workspaceOf(id)
@@ -220,20 +226,20 @@
 	}
 	state, found, err := e.Ledger.State(ctx, id)
 	if err == nil && !found && known {
-		err = e.learn(ctx, id) // It is queued, or it was forgotten since.
+		err = e.loadWorkspace(ctx, id) // It is queued, or it was deleted since.
 	}
 	return state, err
 }
 
-// learn reads a job's request and remembers whose it is.
-func (e *Entry) learn(ctx context.Context, id job.ID) error {
+// loadWorkspace reads a job's request from the store and remembers its workspace. It returns ErrNoJob if there is none.
+func (e *Entry) loadWorkspace(ctx context.Context, id job.ID) error {
 	r, err := e.Ledger.Request(ctx, id)
 	if err != nil {
 		return err
 	}
 	if r == nil {
 		e.mu.Lock()
-		delete(e.known, id)
+		delete(e.workspaces, id)
 		e.mu.Unlock()
 		return ErrNoJob
 	}
@@ -241,32 +247,35 @@
 	return nil
 }
 
-// workspaceOf is whose a job is that is remembered as being in the store; false for any other.
+// workspaceOf returns the workspace of a job that is remembered as being in the store, and false for any other job.
 func (e *Entry) workspaceOf(id job.ID) (string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	workspace, known := e.known[id]
+	workspace, known := e.workspaces[id]
 	return workspace, known
 }
 
+// remember records that a job is in the store and belongs to a workspace. It first drops all records if there are too
+// many.
 func (e *Entry) remember(id job.ID, workspace string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.known == nil || len(e.known) >= maxKnown {
-		e.known = map[job.ID]string{}
+	if e.workspaces == nil || len(e.workspaces) >= maxRemembered {
+		e.workspaces = map[job.ID]string{}
 	}
-	e.known[id] = workspace
+	e.workspaces[id] = workspace
 }
 
-// Pending returns the number of a queue's accepted jobs of which nothing was started.
+// Pending returns the number of accepted jobs in the caller's queue of which no task has started yet. The number may be
+// up to maxSummaryAge old. The error is ErrUnavailable.
 func (e *Entry) Pending(ctx context.Context, c Caller) (int, error) {
 	e.mu.Lock()
 	s, age := e.summary, time.Since(e.summaryAt)
 	e.mu.Unlock()
-	if s == nil || age > summaryAge {
+	if s == nil || age > maxSummaryAge {
 		var err error
 		if s, err = e.Ledger.Summary(ctx); err != nil {
-			e.Log.Warn("entry: no summary", logsink.Error(err))
+			e.Log.Warn("entry: unable to read the summary of the queues; answering that the store is unavailable", logsink.Error(err))
 			return 0, ErrUnavailable
 		}
 		e.mu.Lock()
@@ -277,12 +286,12 @@
 }
 
 func (e *Entry) logCall(what string, id job.ID, c Caller, began time.Time, err error) {
-	e.figure(what, began, err)
+	e.countCall(what, began, err)
 	e.Log.Info("entry: "+what, zap.String("job", string(id)), zap.String("queue", c.Queue.Name),
 		zap.String("workspace", c.Workspace), zap.Duration("took", time.Since(began)), logsink.Error(err))
 }
 
-func (e *Entry) figure(what string, began time.Time, err error) {
+func (e *Entry) countCall(what string, began time.Time, err error) {
 	e.Figures.Took("entry_"+what, time.Since(began))
 	if err != nil {
 		e.Figures.Count("entry_" + what + "_failed")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet is what the system needs of the workers: who they are, and the orders they take.
+// Package fleet defines the interface to the workers: their records, the commands that they accept and their reports.
 package fleet
 
 import (
@@ -11,49 +11,50 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// Worker is one life of a worker as it records itself in the store. A worker that starts again may do so under its ID, or as a new one.
+// Worker is the record that one incarnation of a worker keeps of itself in the store. A restarted worker may keep its
+// ID or get a new one.
 type Worker struct {
 	ID       string
-	Born     int64 // Unix time in milliseconds at which it started, by its own clock; 0 where it does not tell.
+	Born     int64 // Start of the incarnation by its own clock, Unix time in ms; 0 if not reported.
 	Service  string
 	Address  string // IP:port.
 	Hall     string
-	Draining bool          // It takes no new runs; what runs there ends when it leaves.
-	Leaves   time.Duration // While draining: least time that is left.
+	Draining bool          // It accepts no new runs; its runs end when it leaves.
+	Leaves   time.Duration // While draining: minimum time until it leaves.
 	Labels   []string
 	Rack     string
 	Capacity job.Resources
-	Version  int64 // Of its record in the store; 0 where that is not known.
+	Version  int64 // Version of the record in the store; 0 if not known.
 }
 
-// Life is the life that the record is of.
+// Life returns the incarnation that the record belongs to.
 func (w *Worker) Life() life.ID { return life.ID{Worker: w.ID, Born: w.Born} }
 
-// What an order without an answer has come to.
+// Errors of commands that got no answer or were not sent.
 var (
-	// ErrNoAnswer says that an order may have been carried out, or may be seconds later.
+	// ErrNoAnswer means that the command may have been carried out, or may still be carried out seconds later.
 	ErrNoAnswer = errors.New("fleet: no answer")
-	// ErrHungUp is an ErrNoAnswer where the worker closed the connection in order, as the end of its process does; a cut
-	// resets it or says nothing.
-	ErrHungUp = errors.WithMessage(ErrNoAnswer, "fleet: the worker hung up")
-	// ErrNotSent says that an order surely never left: there was no connection to send it on.
-	ErrNotSent = errors.New("fleet: not sent")
-	// ErrNotListening says the same, because nobody listens at the worker's address.
-	ErrNotListening = errors.New("fleet: nobody listens")
+	// ErrHungUp is an ErrNoAnswer because the worker closed the connection properly, as happens when its process ends. A
+	// network failure resets the connection or leaves it silent.
+	ErrHungUp = errors.WithMessage(ErrNoAnswer, "fleet: the worker closed the connection")
+	// ErrNotSent means that the command was never sent, because there was no connection.
+	ErrNotSent = errors.New("fleet: command not sent")
+	// ErrNotListening means that the command was never sent, because no process listens at the worker's address.
+	ErrNotListening = errors.New("fleet: no process listens at the worker's address")
 )
 
-// Refusal is why a worker surely did not carry out an order.
+// Refusal is the reason for which a worker refused a command. A refused command has no effect.
 type Refusal int
 
-// Refusals.
+// Reasons of refusals.
 const (
 	Fenced    Refusal = iota // The worker has seen a higher fencing token.
-	Outdated                 // That run, or a later one, was stopped or has ended there.
-	TooLate                  // The lease named was over.
-	NoRoom                   // It does not fit.
-	OtherLife                // The worker has restarted: everything of the old life is gone.
-	Unhealthy                // The worker takes no orders now.
-	Invalid                  // It does not understand the order.
+	Outdated                 // This run or a later one of the task was stopped or ended there.
+	TooLate                  // The lease in the command has expired.
+	NoRoom                   // The worker has too little free capacity.
+	OtherLife                // The worker has restarted; no run of the old incarnation remains.
+	Unhealthy                // The worker accepts no commands at present.
+	Invalid                  // The worker can't interpret the command.
 )
 
 // Error implements error.
@@ -62,27 +63,27 @@
 	return fmt.Sprintf("fleet: refused: %s", names[r])
 }
 
-// Start orders a run.
+// Start is the command to start a run.
 type Start struct {
 	job.Order
 	Payload string
-	Lease   int64 // Worker's clock, milliseconds, until which everything that runs there may run.
+	Lease   int64 // End of the lease of all runs on the worker, by the worker's clock in ms.
 	Token   int64 // Fencing token.
 }
 
-// Stop orders the end of a run, also of one that has not arrived yet.
+// Stop is the command to stop a run. It may arrive before the Start, which is then refused.
 type Stop struct {
 	Task  job.Task
 	Run   int
 	Token int64
 }
 
-// Look renews the lease of everything that runs on a worker and asks what runs and what has ended.
+// Look is the command to renew the lease of all runs on a worker and to report its running and ended runs.
 type Look struct {
 	Token        int64
-	Acknowledged int64         // Number of the last end that may be forgotten.
-	Lease        int64         // As in Start; 0 to leave it.
-	Wait         time.Duration // How long the answer may wait for an end.
+	Acknowledged int64         // Number of the last end that the worker may delete.
+	Lease        int64         // As in Start; 0 to leave it unchanged.
+	Wait         time.Duration // How long the worker may delay the answer until a run ends.
 }
 
 // Run is a run on a worker.
@@ -90,7 +91,7 @@
 	Task  job.Task
 	Run   int
 	Saved string
-	Done  float64 // Share of its work that is done, 0 to 1, negative if not told; of a lasting task 1 once it is at work.
+	Done  float64 // Completed share, 0 to 1; negative if not reported. 1 for a lasting task at work.
 }
 
 // End is a run that has ended on a worker.
@@ -102,17 +103,17 @@
 	Saved   string
 }
 
-// Report is the answer to a look.
+// Report is the answer to a poll.
 type Report struct {
-	Life    life.ID // That answers.
-	Clock   int64   // Worker's clock in milliseconds.
+	Life    life.ID // The incarnation that answers.
+	Clock   int64   // Worker's clock in ms.
 	Running []Run
-	Ended   []End // By rising numbers.
-	More    bool  // There may be ends after those listed: the answer was full.
+	Ended   []End // By ascending numbers.
+	More    bool  // The report was full; there may be further ends.
 }
 
-// Orders gives orders to workers. Errors are a Refusal or one of those above; the clock is the worker's, 0 where not told.
-// Each call is bounded in time by ctx.
+// Orders sends commands to workers. Each call lasts until ctx ends at most. An error is a Refusal or one of the errors
+// above. The returned clock is the worker's, in ms; 0 if not reported.
 type Orders interface {
 	Start(ctx context.Context, w *Worker, o *Start) (clock int64, err error)
 	Stop(ctx context.Context, w *Worker, o *Stop) (clock int64, err error)
--- a/internal/store/copy.go
+++ b/internal/store/copy.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// Query asks a box for rows as it read them last.
+// Query asks another box for the rows that it last read of a range.
 type Query struct {
 	Range  Range
-	Known  uint64        // Digest of the rows that the caller has; 0 for none.
-	Wait   time.Duration // How long to wait for other rows than those; 0 not to wait.
-	MaxAge time.Duration // The rows must have been read within that.
+	Known  uint64        // Digest of the rows that the caller has; 0 if it has none.
+	Wait   time.Duration // How long to wait while the rows have that digest; 0 not to wait.
+	MaxAge time.Duration // Maximum time since the rows were read.
 }
 
 // Copy is the answer to a query.
 type Copy struct {
-	Page   Page // Left out where the caller has the same rows.
+	Page   Page // Empty if the caller has the same rows.
 	Digest uint64
-	Age    time.Duration // How long ago it was asked for the rows.
-	Waited time.Duration // How long the answer was held back.
+	Age    time.Duration // Time since the read of the rows began.
+	Waited time.Duration // How long the answer was delayed.
 }
 
-// Digest tells rows in a page from others by their names and versions; it is never 0.
+// Digest returns a hash of the names and versions of the rows in the page. It is never 0.
 func (p *Page) Digest() uint64 {
 	sum := fnv.New64a()
 	for i := range p.Rows {
-		// A hash takes everything.
+		// A hash never returns an error.
 		_, _ = sum.Write(strconv.AppendInt([]byte(p.Rows[i].Name+"\x00"), p.Rows[i].Version, 10))
 	}
 	return sum.Sum64() | 1
 }
 
-// Replica answers queries. Its error is ErrUnreachable where the rows are not followed, or were read too long ago.
+// Replica serves copies of rows that it has read. Copy returns ErrUnreachable if the range was not read, or was read
+// longer ago than the query's MaxAge.
 type Replica interface {
 	Copy(ctx context.Context, q Query) (Copy, error)
 }
 
-// Peer is the store as another box passes it on.
+// Peer is the store as it is reached through another box.
 type Peer interface {
 	Store
 	Replica
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is what the system needs of the platform's store of rows: reads, transactions under conditions and a
-// feed of changes. The adapter in platform/ and the emulator implement it.
+// Package store defines the interface to the platform's store of rows: reads, conditional transactions and a feed of
+// changes. The adapter in platform/ and the emulator implement it.
 package store
 
 import (
@@ -9,95 +9,97 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of calls. A *Conflict is the third kind: the conditions did not hold and nothing was written.
+// Errors of calls. Besides these, Commit returns a *Conflict if the conditions did not hold and nothing was written.
 var (
-	// ErrRefused says that the store surely did nothing.
+	// ErrRefused means that the store did nothing.
 	ErrRefused = errors.New("store: refused")
-	// ErrUnreachable is the refusal of a path that does not lead to the store: another path may.
+	// ErrUnreachable is an ErrRefused because this path does not reach the store; another path may.
 	ErrUnreachable = errors.WithMessage(ErrRefused, "no path to it")
-	// ErrUnknown says that no answer came: the call may have taken effect, or may do so later.
+	// ErrUnknown means that no answer came: the call may have taken effect, or may still do so.
 	ErrUnknown = errors.New("store: no answer")
-	// ErrHistoryGone says that a feed can't be continued; read the table again.
+	// ErrHistoryGone means that the feed can't be continued from the given version; the table must be read again.
 	ErrHistoryGone = errors.New("store: history gone")
 )
 
-// Key names a row.
+// Key identifies a row.
 type Key struct {
 	Table string
-	Part  string // Rows of one part change together; a transaction stays within one part.
+	Part  string // Rows of one part can change together: a transaction is limited to one part.
 	Name  string
 }
 
-// Row is a row as it was read, or as it is to be written.
+// Row is a row that was read or is to be written.
 type Row struct {
 	Key
 	Value   []byte
 	Version int64 // Set by the store.
-	Deleted bool  // In a feed: the row is gone.
+	Deleted bool  // In a feed: the row was deleted.
 }
 
-// Condition is what a row must be like for a transaction to be carried out.
+// Condition requires that a row has a version, or does not exist, for a transaction to be carried out.
 type Condition struct {
 	Key
 	Version int64 // 0: the row must not exist.
 }
 
-// Transaction changes rows, all or none.
+// Transaction changes rows atomically.
 type Transaction struct {
 	Conditions []Condition
 	Writes     []Row
 	Deletes    []Key
-	Patient    bool // Nobody waits for it: its answer may take long, as that of one among many that wait their turn in a part.
+	Patient    bool // No caller waits for it: use the longest timeout, as it may queue behind others in its part.
 }
 
 // Conflict is the error of a transaction whose conditions did not hold.
 type Conflict struct {
-	Rows []Row // The rows of the conditions as they are; those that don't exist are left out.
+	Rows []Row // Current rows of the conditions, without those that don't exist.
 }
 
 // Error implements error.
 func (*Conflict) Error() string { return "store: conflict" }
 
-// Range selects rows of one table and part by name, in rising order.
+// Range selects rows of one table and part by name, in ascending order.
 type Range struct {
 	Table, Part string
-	From        string // First name.
-	To          string // Name after the last one; empty for no end.
-	Limit       int    // 0 for the store's own limit.
+	From        string // First name, inclusive.
+	To          string // Last name, exclusive; empty for no end.
+	Limit       int    // Maximum number of rows; 0 for the store's own limit.
 }
 
 // Page is the answer to a read or to a feed.
 type Page struct {
 	Rows    []Row
-	More    bool  // The range has more rows than were returned.
-	Version int64 // The newest version at the moment of the answer.
+	More    bool  // The range has more rows than are in the page.
+	Version int64 // Newest version in the store at the time of the answer.
 }
 
-// Store is the platform's store. Every call is bounded in time by the implementation as well as by ctx.
+// Store is the platform's store. Implementations limit the duration of every call, in addition to ctx.
 type Store interface {
-	// Commit carries out a transaction and returns the version that its rows got.
+	// Commit carries out a transaction and returns the new version of its rows.
 	Commit(ctx context.Context, tx *Transaction) (int64, error)
-	// Read returns rows as of a single moment.
+	// Read returns the rows of a range, all as of the same moment.
 	Read(ctx context.Context, r Range) (Page, error)
-	// Watch waits up to wait for changes of a table after a version and returns them in order.
+	// Watch returns the changes of a table after the version since, in order. If there are none yet, it waits for them
+	// for up to wait.
 	Watch(ctx context.Context, table string, since int64, wait time.Duration) (Page, error)
 }
 
 const (
-	// firstPage is how many rows the first page of a long read asks for: about 50 KB, 0.2 s on the thinnest link seen (2 Mbit/s).
-	firstPage = 32
-	// pageLeast and pageMost bound the rows of the later ones; the platform gives 500 at most.
-	pageLeast, pageMost = 16, 500
-	// pageQuick and pageSlow are the times within and after which the next page is twice, or half, as long, so that on
-	// any link a page takes less than the 0.7 s without an answer after which the path to the store counts as out.
-	pageQuick, pageSlow = 100 * time.Millisecond, 300 * time.Millisecond
+	// firstPageRows is the number of rows of the first page of a long read: about 50 KB, which take 0.2 s at 2 Mbit/s, the
+	// slowest link seen.
+	firstPageRows = 32
+	// minPageRows and maxPageRows limit the rows of later pages. The platform returns 500 at most.
+	minPageRows, maxPageRows = 16, 500
+	// A page that takes less than fastPage doubles the next page, and one that takes more than slowPage halves it. This
+	// keeps pages below 0.7 s on any link; after 0.7 s without an answer the path to the store counts as down.
+	fastPage, slowPage = 100 * time.Millisecond, 300 * time.Millisecond
 )
 
-// ReadAll reads a range page by page, in pages as long as the link carries well. The version is that of the first page, so
-// that a feed from there misses nothing.
+// ReadAll reads a range page by page and adapts the size of the pages to the speed of the link. The version in the
+// result is that of the first page, so that a feed from there misses no change.
 func ReadAll(ctx context.Context, s Store, r Range) (Page, error) {
 	var all Page
-	r.Limit = firstPage
+	r.Limit = firstPageRows
 	for {
 		began := time.Now()
 		page, err := s.Read(ctx, r)
@@ -112,17 +114,17 @@
 			return all, nil
 		}
 		r.From = page.Rows[len(page.Rows)-1].Name + "\x00"
-		r.Limit = nextLimit(r.Limit, time.Since(began))
+		r.Limit = nextPageRows(r.Limit, time.Since(began))
 	}
 }
 
-// nextLimit is how many rows the next page asks for, after one that took a time.
-func nextLimit(limit int, took time.Duration) int {
+// nextPageRows returns the number of rows of the next page, after a page with a limit took a time.
+func nextPageRows(limit int, took time.Duration) int {
 	switch {
-	case took < pageQuick:
-		return min(2*limit, pageMost)
-	case took > pageSlow:
-		return max(limit/2, pageLeast)
+	case took < fastPage:
+		return min(2*limit, maxPageRows)
+	case took > slowPage:
+		return max(limit/2, minPageRows)
 	}
 	return limit
 }
