--- a/internal/relay/rows_test.go
+++ b/internal/relay/rows_test.go
@@ -33,8 +33,8 @@
 		"page":      page,
 		"query":     store.Query{Range: rows, Known: 7, Wait: 8 * time.Second, MaxAge: 9 * time.Second},
 		"copy":      store.Copy{Page: page, Digest: 10, Age: 11 * time.Second, Waited: 12 * time.Second},
-		"watch":     watch{Table: "t", Since: 13, Wait: 14 * time.Second},
-		"committed": committed{Version: 15, Conflict: &conflict},
+		"watch":     watchRequest{Table: "t", Since: 13, Wait: 14 * time.Second},
+		"committed": commitReply{Version: 15, Conflict: &conflict},
 		"conflict":  conflict,
 	} {
 		raw, err := cbor.Marshal(value)
@@ -69,7 +69,7 @@
 		quicktest.Check(t, a.written.Equal(began), quicktest.IsTrue)
 		a.written = time.Time{}
 		quicktest.Check(t, a, quicktest.Equals, announcement{
-			box: "box-1", address: "10.0.0.1:80", hall: "hall-1", takeover: 1500 * time.Millisecond, version: 3,
+			box: "box-1", address: "10.0.0.1:80", hall: "hall-1", takeoverTime: 1500 * time.Millisecond, version: 3,
 		})
 	})
 }
