--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -9,114 +9,119 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// board is the state of one decision.
-type board struct {
-	view     *View
-	free     []job.Resources // By worker: free and not claimed by others.
-	seats    map[string]int  // Workers by name; made when a name is first looked up.
-	everyone []int           // All workers.
-	racks    [][]int         // Workers by rack, in the order of the view.
-	onWorker [][]int         // Holdings by worker, once for each task.
-	open     int             // Workers in halls that are not emptied.
-	idle     int             // Usable workers on which nothing runs.
-	reserve  int             // Idle workers that are left to urgent work.
-	draining int             // Tasks for which room is draining.
-	outcome  Outcome
-	served   []bool          // By demand: it has had its turn.
-	dropped  []bool          // By demand: its draining room was given up.
-	aside    []bool          // By demand: the room claimed for it is set aside.
-	stopped  []bool          // By holding: stopped by this decision.
-	soon     []job.Resources // By worker: comes free within the time that a stop takes.
-	suspects []job.ID        // By worker: the job that may crash it and has just begun there, or begins by this decision.
-	begun    []job.ID        // By worker: a job that has just begun there, or begins by this decision.
-	shared   []bool          // By worker: a job runs there that the considered demand is to begin apart from.
-	suitable []bool          // By worker: may run tasks of the demand that is being considered.
-	shunned  []bool          // By worker: that demand runs there only if it has to.
-	overdue  bool            // That demand has waited for too long beside plenty of room.
-	running  map[job.ID]bool // Jobs of which something runs; made when it is first asked for.
-	search   search          // Scratch of planRoom.
+// planner holds the state of one decision while it is being made.
+type planner struct {
+	view             *View
+	free             []job.Resources // Free capacity by worker, without capacity reserved for other demands.
+	indexByName      map[string]int  // Worker indexes by worker name; built on first use.
+	allWorkers       []int           // Indexes of all workers.
+	racks            [][]int         // Worker indexes by rack, in the order of the view.
+	onWorker         [][]int         // Allocation indexes by worker, one entry for each task.
+	openCount        int             // Number of workers in halls that are not emptied.
+	idleCount        int             // Number of workers that accept new runs and run nothing.
+	reservedIdle     int             // Number of idle workers kept for urgent work.
+	unpreemptedTasks int             // Number of tasks that hold a reservation without preemption.
+	outcome          Outcome
+	served           []bool // By demand: already processed in this decision.
+	// By demand: its reservation was dropped as another demand used its capacity.
+	droppedReservations []bool
+	deducted            []bool          // By demand: its reservation is deducted from free.
+	stopped             []bool          // By allocation: stopped by this decision.
+	freeSoon            []job.Resources // By worker: capacity that comes free within the time that a stop takes.
+	// By worker: a job suspected of crashing workers that has just started there or starts by this decision.
+	suspectJobs     []job.ID
+	justStarted     []job.ID        // By worker: a job that has just started there or starts by this decision.
+	hasAntiAffinity []bool          // By worker: runs a job that the current demand has anti-affinity to.
+	suitable        []bool          // By worker: may run tasks of the current demand.
+	avoided         []bool          // By worker: the current demand runs there only as a last resort.
+	waitedTooLong   bool            // The current demand has waited too long beside ample capacity.
+	runningJobs     map[job.ID]bool // Jobs of which at least one task runs; built on first use.
+	search          search          // Buffers of planPreemption, reused between calls.
 }
 
-// Decide places the demands: guaranteed work first, stopping other work where it must, then the rest by what it earns for
-// the room it takes.
+// Decide returns which demands start where, which allocations are preempted and which capacity is reserved.
+// Guaranteed work comes first and may preempt other work. The rest is ordered by the value it earns for the
+// capacity that it takes.
 func Decide(v *View) Outcome {
-	b := newBoard(v)
-	drained := false
-	for _, i := range b.order() {
+	pl := newPlanner(v)
+	deducted := false
+	for _, i := range pl.order() {
 		d := &v.Demands[i]
-		if d.Priority > 0 && !drained {
-			b.setAside()
-			drained = true
+		if d.Priority > 0 && !deducted {
+			pl.deductUnpreempted()
+			deducted = true
 		}
-		b.serve(i)
+		pl.serve(i)
 	}
-	return b.outcome
+	return pl.outcome
 }
 
-// serve places a demand, or sees to it that room for it comes free.
-func (b *board) serve(i int) {
-	d := &b.view.Demands[i]
-	b.served[i] = true
-	b.consider(d)
-	b.avoidUnproven(d)
-	b.unclaim(i)
-	claimed := d.Claim != nil && !b.dropped[i]
-	if b.place(i) || b.placeOnDrained(i) {
-		if claimed && d.Draining {
-			b.draining -= len(d.Claim)
+// serve places a demand, or arranges that capacity for it comes free.
+func (pl *planner) serve(i int) {
+	d := &pl.view.Demands[i]
+	pl.served[i] = true
+	pl.consider(d)
+	pl.excludeUnproven(d)
+	pl.returnReservation(i)
+	reserved := d.Claim != nil && !pl.droppedReservations[i]
+	if pl.place(i) || pl.placeOnReserved(i) {
+		if reserved && d.Draining {
+			pl.unpreemptedTasks -= len(d.Claim)
 		}
 		return
 	}
-	if (!claimed || d.Draining) && b.impatient(d) && b.makeRoom(i) {
+	if (!reserved || d.Draining) && pl.mayPreemptNow(d) && pl.preempt(i) {
 		return
 	}
-	b.reclaim(i)
-	if !claimed && d.Step.Gang && d.Priority > 0 {
-		b.planDrain(i)
+	pl.deductReservation(i)
+	if !reserved && d.Step.Gang && d.Priority > 0 {
+		pl.reserveWithoutPreemption(i)
 	}
 }
 
-// setAside takes the room that is draining for gangs from all that is served after urgent work.
-func (b *board) setAside() {
-	for i := range b.view.Demands {
-		if d := &b.view.Demands[i]; d.Draining {
-			b.reclaim(i)
-			b.draining += len(d.Claim)
+// deductUnpreempted deducts the reservations without preemption, so that work that is not urgent can't use
+// them.
+func (pl *planner) deductUnpreempted() {
+	for i := range pl.view.Demands {
+		if d := &pl.view.Demands[i]; d.Draining {
+			pl.deductReservation(i)
+			pl.unpreemptedTasks += len(d.Claim)
 		}
 	}
 }
 
-func newBoard(v *View) *board {
-	workers, holdings := len(v.Workers), len(v.Holdings)
-	b := &board{
-		view: v, free: make([]job.Resources, workers), everyone: make([]int, workers), soon: make([]job.Resources, workers),
-		suitable: make([]bool, workers), shunned: make([]bool, workers), suspects: make([]job.ID, workers), begun: make([]job.ID, workers), shared: make([]bool, workers), served: make([]bool, len(v.Demands)), dropped: make([]bool, len(v.Demands)), aside: make([]bool, len(v.Demands)),
-		stopped: make([]bool, holdings),
+func newPlanner(v *View) *planner {
+	workers, allocations := len(v.Workers), len(v.Holdings)
+	pl := &planner{
+		view: v, free: make([]job.Resources, workers), allWorkers: make([]int, workers), freeSoon: make([]job.Resources, workers),
+		suitable: make([]bool, workers), avoided: make([]bool, workers), suspectJobs: make([]job.ID, workers), justStarted: make([]job.ID, workers), hasAntiAffinity: make([]bool, workers), served: make([]bool, len(v.Demands)), droppedReservations: make([]bool, len(v.Demands)), deducted: make([]bool, len(v.Demands)),
+		stopped: make([]bool, allocations),
 	}
 	for k := range v.Workers {
-		b.free[k], b.everyone[k] = v.Workers[k].Free, k
-		b.suspects[k], b.begun[k] = v.Workers[k].Suspect, v.Workers[k].Begun
+		pl.free[k], pl.allWorkers[k] = v.Workers[k].Free, k
+		pl.suspectJobs[k], pl.justStarted[k] = v.Workers[k].Suspect, v.Workers[k].Begun
 	}
-	b.open = openWorkers(v)
-	b.reserve = int(reserveShare * float64(b.open))
-	b.racks = racksOf(v)
-	b.onWorker = holdingsByWorker(v)
+	pl.openCount = countOpenWorkers(v)
+	pl.reservedIdle = int(idleReserveShare * float64(pl.openCount))
+	pl.racks = racksOf(v)
+	pl.onWorker = allocationsByWorker(v)
 	for k := range v.Workers {
-		b.soon[k] = b.freeingSoon(k)
-		if b.isIdle(k) {
-			b.idle++
+		pl.freeSoon[k] = pl.capacityFreeSoon(k)
+		if pl.isIdle(k) {
+			pl.idleCount++
 		}
 	}
 	for i := range v.Demands {
 		if !v.Demands[i].Draining {
-			b.reclaim(i)
+			pl.deductReservation(i)
 		}
 	}
-	return b
+	return pl
 }
 
-// openWorkers counts the workers in halls where work may start: shares of the site are shares of these.
-func openWorkers(v *View) int {
+// countOpenWorkers returns the number of workers in halls where work may start. Shares of the site are
+// shares of this number.
+func countOpenWorkers(v *View) int {
 	n := 0
 	for k := range v.Workers {
 		if !v.Workers[k].Closed {
@@ -126,7 +131,7 @@
 	return n
 }
 
-// racksOf lists the workers of each rack.
+// racksOf returns the worker indexes of each rack.
 func racksOf(v *View) [][]int {
 	var racks [][]int
 	byName := map[string]int{}
@@ -142,8 +147,9 @@
 	return racks
 }
 
-// holdingsByWorker lists what each worker holds, once for each task. All lists share one array.
-func holdingsByWorker(v *View) [][]int {
+// allocationsByWorker returns the allocation indexes of each worker, one entry for each task. All lists
+// share one array.
+func allocationsByWorker(v *View) [][]int {
 	counts := make([]int, len(v.Workers))
 	sum := 0
 	for h := range v.Holdings {
@@ -165,65 +171,66 @@
 	return lists
 }
 
-// seat finds a worker by its name; false for one that is not in the view.
-func (b *board) seat(worker string) (int, bool) {
-	if b.seats == nil {
-		b.seats = make(map[string]int, len(b.view.Workers))
-		for k := range b.view.Workers {
-			b.seats[b.view.Workers[k].ID] = k
+// workerIndex returns the index of a worker in the view; false if the view does not contain it.
+func (pl *planner) workerIndex(worker string) (int, bool) {
+	if pl.indexByName == nil {
+		pl.indexByName = make(map[string]int, len(pl.view.Workers))
+		for k := range pl.view.Workers {
+			pl.indexByName[pl.view.Workers[k].ID] = k
 		}
 	}
-	k, ok := b.seats[worker]
+	k, ok := pl.indexByName[worker]
 	return k, ok
 }
 
-// mustSeat finds a worker that is known to be in the view.
-func (b *board) mustSeat(worker string) int {
-	k, _ := b.seat(worker)
+// mustWorkerIndex returns the index of a worker that the view is known to contain.
+func (pl *planner) mustWorkerIndex(worker string) int {
+	k, _ := pl.workerIndex(worker)
 	return k
 }
 
-// claimOf is the room claimed for a demand, if it has not been given up.
-func (b *board) claimOf(i int) map[int]string {
-	if b.dropped[i] {
+// reservationOf returns the capacity reserved for a demand, by task index; nil if the reservation was dropped.
+func (pl *planner) reservationOf(i int) map[int]string {
+	if pl.droppedReservations[i] {
 		return nil
 	}
-	return b.view.Demands[i].Claim
+	return pl.view.Demands[i].Claim
 }
 
-// unclaim gives the room claimed for a demand back to the board, for the demand itself.
-func (b *board) unclaim(i int) {
-	d := &b.view.Demands[i]
-	b.aside[i] = false
-	for _, worker := range b.claimOf(i) {
-		if k, ok := b.seat(worker); ok {
-			b.free[k] = b.free[k].Add(d.Step.Each)
+// returnReservation adds a demand's reservation back to the free capacity, so that the demand itself can
+// use it.
+func (pl *planner) returnReservation(i int) {
+	d := &pl.view.Demands[i]
+	pl.deducted[i] = false
+	for _, worker := range pl.reservationOf(i) {
+		if k, ok := pl.workerIndex(worker); ok {
+			pl.free[k] = pl.free[k].Add(d.Step.Each)
 		}
 	}
 }
 
-// reclaim sets the claimed room aside.
-func (b *board) reclaim(i int) {
-	d := &b.view.Demands[i]
-	b.aside[i] = !b.dropped[i]
-	for _, worker := range b.claimOf(i) {
-		if k, ok := b.seat(worker); ok {
-			b.free[k] = b.free[k].Sub(d.Step.Each)
+// deductReservation deducts a demand's reservation from the free capacity.
+func (pl *planner) deductReservation(i int) {
+	d := &pl.view.Demands[i]
+	pl.deducted[i] = !pl.droppedReservations[i]
+	for _, worker := range pl.reservationOf(i) {
+		if k, ok := pl.workerIndex(worker); ok {
+			pl.free[k] = pl.free[k].Sub(d.Step.Each)
 		}
 	}
 }
 
-// order returns the demands' indexes, first served first.
-func (b *board) order() []int {
-	order := make([]int, len(b.view.Demands))
+// order returns the indexes of the demands in the order in which they are served.
+func (pl *planner) order() []int {
+	order := make([]int, len(pl.view.Demands))
 	scores := make([]float64, len(order))
 	for i := range order {
 		order[i] = i
-		scores[i] = b.score(&b.view.Demands[i])
+		scores[i] = pl.score(&pl.view.Demands[i])
 	}
 	slices.SortFunc(order, func(x, y int) int {
-		p, q := &b.view.Demands[x], &b.view.Demands[y]
-		if c := cmp.Compare(rank(q), rank(p)); c != 0 {
+		p, q := &pl.view.Demands[x], &pl.view.Demands[y]
+		if c := cmp.Compare(priorityClass(q), priorityClass(p)); c != 0 {
 			return c
 		}
 		if !p.Covered {
@@ -236,8 +243,9 @@
 	return order
 }
 
-// rank puts guaranteed work before other urgent work, and that before all else.
-func rank(d *Demand) int {
+// priorityClass returns the class of a demand: guaranteed work before other urgent work, urgent work before
+// the rest.
+func priorityClass(d *Demand) int {
 	switch {
 	case d.Covered:
 		return 2
@@ -247,99 +255,101 @@
 	return 0
 }
 
-// neverInTime is the share of its value that work counts for once it can't earn anything any more; it is served last, but
-// it is served.
-const neverInTime = 0.02
+// missedGoalWeight is the share of its value that counts for work that can no longer meet any goal. It is
+// above zero so that such work is still served, after all other work.
+const missedGoalWeight = 0.02
 
-// urgencyScale is how fast a demand gains weight as its last start in time comes nearer: about the length of a run, so
-// that work that has time lets other work go first.
-const urgencyScale = 10 * time.Second
+// urgencyTimeConstant is the time constant with which a demand gains weight as its latest start in time
+// comes closer. It is about the length of a run, so that work with time to spare lets other work go first.
+const urgencyTimeConstant = 10 * time.Second
 
-// stake is what a demand loses if it misses its next goal, and when that is.
-func (b *board) stake(d *Demand) (gain float64, goal time.Time) {
-	end := b.view.Now.Add(d.Remaining)
+// valueAtStake returns the value that a demand loses if it misses its next goal, and the time of that goal.
+func (pl *planner) valueAtStake(d *Demand) (gain float64, goal time.Time) {
+	end := pl.view.Now.Add(d.Remaining)
 	switch {
 	case !end.After(d.Goal):
 		return d.Value - d.LateValue, d.Goal
 	case !end.After(d.LastGoal):
 		return d.LateValue, d.LastGoal
 	}
-	return neverInTime * d.Value, b.view.Now
+	return missedGoalWeight * d.Value, pl.view.Now
 }
 
-// score is what a demand stands to lose for each core-second that it takes, less the more time it has.
-func (b *board) score(d *Demand) float64 {
-	gain, goal := b.stake(d)
-	slack := goal.Sub(b.view.Now.Add(d.Remaining))
-	return gain / max(d.Work, 1e-3) * math.Exp(-max(0, float64(slack)/float64(urgencyScale)))
+// score returns the value at stake for each core-second of a demand, discounted by the time that it can
+// still wait.
+func (pl *planner) score(d *Demand) float64 {
+	gain, goal := pl.valueAtStake(d)
+	slack := goal.Sub(pl.view.Now.Add(d.Remaining))
+	return gain / max(d.Work, 1e-3) * math.Exp(-max(0, float64(slack)/float64(urgencyTimeConstant)))
 }
 
-// place starts what fits of a demand and reports whether nothing of it is left waiting.
-func (b *board) place(i int) bool {
-	d := &b.view.Demands[i]
+// place starts the tasks of a demand that fit, and reports whether none is left waiting.
+func (pl *planner) place(i int) bool {
+	d := &pl.view.Demands[i]
 	var workers map[int]string
 	if d.Step.Gang {
-		workers = b.layGang(d)
+		workers = pl.assignGang(d)
 	} else {
-		workers = b.laySingles(d)
+		workers = pl.assignSingles(d)
 	}
-	if len(workers) == 0 || d.Step.Gang && b.takesReserve(d, workers) {
+	if len(workers) == 0 || d.Step.Gang && pl.usesReserve(d, workers) {
 		return false
 	}
 	for _, w := range workers {
-		k := b.mustSeat(w)
-		if b.isIdle(k) {
-			b.idle--
+		k := pl.mustWorkerIndex(w)
+		if pl.isIdle(k) {
+			pl.idleCount--
 		}
-		b.free[k] = b.free[k].Sub(d.Step.Each)
-		b.begun[k] = d.Job
+		pl.free[k] = pl.free[k].Sub(d.Step.Each)
+		pl.justStarted[k] = d.Job
 		if d.Suspect {
-			b.suspects[k] = d.Job
+			pl.suspectJobs[k] = d.Job
 		}
 	}
-	b.outcome.Starts = append(b.outcome.Starts, Start{i, workers})
+	pl.outcome.Starts = append(pl.outcome.Starts, Start{i, workers})
 	return len(workers) == len(d.Waiting)
 }
 
-// reserveShare is the share of the workers that other work leaves idle, so that urgent work finds room without stopping
-// anything. With gangs held to it, 0.25 gained 0.016 of mean worth at 48 workers of 32 cores (60 days) and 0.020 at 64 cores
-// (40 days), and lost 0.007 at 128 cores (40 days); 0.08, 0.15 and 0.35 gained -0.003, 0.014 and 0.017 at 32 cores.
-const reserveShare = 0.25
+// idleReserveShare is the share of the workers that other work leaves idle, so that urgent work can start
+// without preemption. At 48 workers 0.25 gains 0.016 of mean value with 32 cores each (60 days) and 0.020
+// with 64 (40 days), and loses 0.007 with 128 (40 days). With 32 cores, 0.08, 0.15 and 0.35 gain -0.003,
+// 0.014 and 0.017.
+const idleReserveShare = 0.25
 
-// reservePatience is the share of the time to its goal that work above bulk waits rather than take the reserve. It keeps
-// half of the loss that waiting brings large gangs at 128 cores: the worth of their queue was 0.908 without a reserve for
-// gangs, 0.844 without this bound, 0.864 with it (40 days each).
-const reservePatience = 0.25
+// reserveWaitShare is the share of the time to its goal for which work above bulk priority waits instead of
+// using the reserve. Without this limit large gangs at 128 cores wait too long: the value of their queue is
+// 0.908 without a reserve for gangs, 0.844 with an unlimited wait and 0.864 with this limit (40 days each).
+const reserveWaitShare = 0.25
 
-// isIdle reports whether nothing runs on a worker that takes new runs, and no room on it is claimed.
-func (b *board) isIdle(k int) bool {
-	w := &b.view.Workers[k]
-	return w.Usable && b.free[k] == w.Capacity
+// isIdle reports whether a worker accepts new runs, runs nothing and has no reserved capacity.
+func (pl *planner) isIdle(k int) bool {
+	w := &pl.view.Workers[k]
+	return w.Usable && pl.free[k] == w.Capacity
 }
 
-// keepsReserve reports whether a demand leaves the last idle workers to urgent work: work that still has time does, unless
-// it has waited beside plenty of room.
-func (b *board) keepsReserve(d *Demand) bool {
-	if d.Priority == 0 || b.impatient(d) || b.overdue {
+// leavesReserve reports whether a demand must leave the last idle workers to urgent work. Work that can
+// still wait does, unless it has waited too long beside ample capacity.
+func (pl *planner) leavesReserve(d *Demand) bool {
+	if d.Priority == 0 || pl.mayPreemptNow(d) || pl.waitedTooLong {
 		return false
 	}
-	patience := time.Duration(reservePatience * float64(d.Goal.Sub(d.Since)))
-	return d.Priority >= bulkPriority || b.view.Now.Sub(d.Since) <= patience
+	waitLimit := time.Duration(reserveWaitShare * float64(d.Goal.Sub(d.Since)))
+	return d.Priority >= bulkPriority || pl.view.Now.Sub(d.Since) <= waitLimit
 }
 
-// takesReserve reports whether a gang that keeps the reserve would start on idle workers that belong to it.
-func (b *board) takesReserve(d *Demand, workers map[int]string) bool {
-	if !b.keepsReserve(d) {
+// usesReserve reports whether a gang that must leave the reserve would start on idle workers of the reserve.
+func (pl *planner) usesReserve(d *Demand, workers map[int]string) bool {
+	if !pl.leavesReserve(d) {
 		return false
 	}
 	idle := map[string]bool{}
 	for _, w := range workers {
-		if b.isIdle(b.mustSeat(w)) {
+		if pl.isIdle(pl.mustWorkerIndex(w)) {
 			idle[w] = true
 		}
 	}
-	return len(idle) > 0 && b.idle-len(idle) < b.reserve
+	return len(idle) > 0 && pl.idleCount-len(idle) < pl.reservedIdle
 }
 
-// bulkPriority is the first priority that counts as bulk.
+// bulkPriority is the lowest priority number that counts as bulk work.
 const bulkPriority = 2
--- a/internal/placement/decide_bench_test.go
+++ b/internal/placement/decide_bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// BenchmarkDecide decides over a site that is seven tenths full, with tasks waiting in groups of 16: a third of them urgent
-// gangs, a third gangs that are not, a third single tasks. What decisions cost grows with both sizes; the figures are in
-// docs/CAPACITY.md.
+// BenchmarkDecide measures a decision for a site at 70% load. Tasks wait in groups of 16: a third are
+// urgent gangs, a third other gangs, a third single tasks. The cost grows with the number of workers and of
+// tasks; figures are in docs/CAPACITY.md.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ workers, tasks int }{{48, 500}, {350, 5000}, {1100, 2000}, {1100, 20000}, {3100, 25000}} {
 		b.Run(fmt.Sprintf("workers=%d/tasks=%d", size.workers, size.tasks), func(b *testing.B) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// busyView draws the view of a busy site; the same sizes give the same view.
+// busyView returns a random view of a busy site. The same sizes give the same view.
 func busyView(workers, tasks int) *View {
 	random := rand.New(rand.NewPCG(1, 1))
 	v := &View{Now: time.Unix(1000, 0), Policy: Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: time.Second, WasteCost: 0.0015}}
--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -8,154 +8,161 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// drainShare bounds the room that drains at a time, as a share of the workers in open halls, one a task: what drains is idle meanwhile.
-const drainShare = 0.4
+// maxUnpreemptedShare limits the reservations without preemption: tasks with such a reservation for each
+// worker in an open hall. Reserved capacity stays idle until all of it is free.
+const maxUnpreemptedShare = 0.4
 
-// planDrain sets room aside for a gang that finds none, where it will come free first: nothing is stopped, but no other
-// work of its kind starts there.
-func (b *board) planDrain(i int) {
-	d := &b.view.Demands[i]
-	if b.draining > 0 && float64(b.draining+len(d.Waiting)) > drainShare*float64(b.open) {
+// reserveWithoutPreemption reserves the capacity that comes free first for a gang that does not fit now.
+// Nothing is preempted, but no other work that is not urgent starts there.
+func (pl *planner) reserveWithoutPreemption(i int) {
+	d := &pl.view.Demands[i]
+	if pl.unpreemptedTasks > 0 && float64(pl.unpreemptedTasks+len(d.Waiting)) > maxUnpreemptedShare*float64(pl.openCount) {
 		return
 	}
-	racks := b.racks
+	racks := pl.racks
 	if !d.Step.RackLocal {
-		racks = [][]int{b.everyone}
+		racks = [][]int{pl.allWorkers}
 	}
 	var best map[int]string
-	var soonest time.Duration
+	var earliest time.Duration
 	for _, rack := range racks {
-		workers, after := b.drainOf(d, rack)
-		if workers != nil && (best == nil || after < soonest) {
-			best, soonest = workers, after
+		workers, after := pl.earliestCapacity(d, rack)
+		if workers != nil && (best == nil || after < earliest) {
+			best, earliest = workers, after
 		}
 	}
 	if best == nil {
 		return
 	}
-	b.draining += len(best)
+	pl.unpreemptedTasks += len(best)
 	for _, worker := range best {
-		k := b.mustSeat(worker)
-		b.free[k] = b.free[k].Sub(d.Step.Each)
+		k := pl.mustWorkerIndex(worker)
+		pl.free[k] = pl.free[k].Sub(d.Step.Each)
 	}
-	b.outcome.Claims = append(b.outcome.Claims, Claim{Demand: i, Workers: best, Draining: true})
+	pl.outcome.Claims = append(pl.outcome.Claims, Reservation{Demand: i, Workers: best, Draining: true})
 }
 
-// placeOnDrained starts a gang on room that drains for gangs that are served after it too, and other work that has waited for too long beside plenty of room. With each gang left to its own
-// room, a dozen gangs waited 10 to 40 s, each for the last few of its workers, while 160 to 330 of their tasks fitted
-// into the room of all of them.
-func (b *board) placeOnDrained(i int) bool {
-	if !b.mayTakeDrained(i) {
+// placeOnReserved starts a gang on capacity reserved without preemption for gangs that are served later.
+// Other work may do so once it has waited too long beside ample capacity. With every gang limited to its
+// own reservation, a dozen gangs waited 10 to 40 s for the last few of their workers, while 160 to 330 of
+// their tasks would have fitted into all reservations together.
+func (pl *planner) placeOnReserved(i int) bool {
+	if !pl.mayUseReserved(i) {
 		return false
 	}
-	later := b.drainingLater()
-	for _, j := range later {
-		b.unclaim(j)
+	reservations := pl.usableReservations()
+	for _, j := range reservations {
+		pl.returnReservation(j)
 	}
-	whole := len(later) > 0 && b.place(i)
-	for _, j := range later {
-		b.reclaim(j)
+	complete := len(reservations) > 0 && pl.place(i)
+	for _, j := range reservations {
+		pl.deductReservation(j)
 	}
-	if b.started(i) {
-		b.dropTaken(later)
+	if pl.started(i) {
+		pl.dropUsedReservations(reservations)
 	}
-	return whole
+	return complete
 }
 
-// mayTakeDrained reports whether a demand may start on room that drains for others.
-func (b *board) mayTakeDrained(i int) bool {
-	d := &b.view.Demands[i]
-	return d.Priority > 0 && !b.started(i) && (d.Step.Gang || b.overdue)
+// mayUseReserved reports whether a demand may start on capacity reserved without preemption for others.
+func (pl *planner) mayUseReserved(i int) bool {
+	d := &pl.view.Demands[i]
+	return d.Priority > 0 && !pl.started(i) && (d.Step.Gang || pl.waitedTooLong)
 }
 
-// started reports whether something of the demand starts that has its turn.
-func (b *board) started(i int) bool {
-	n := len(b.outcome.Starts)
-	return n > 0 && b.outcome.Starts[n-1].Demand == i
+// started reports whether this decision starts any task of the demand that is being served.
+func (pl *planner) started(i int) bool {
+	n := len(pl.outcome.Starts)
+	return n > 0 && pl.outcome.Starts[n-1].Demand == i
 }
 
-// drainingLater lists the demands with draining room that have not had their turn, and for one that has waited for too long those too that had theirs in vain.
-func (b *board) drainingLater() []int {
-	var later []int
-	for j := range b.view.Demands {
-		if b.view.Demands[j].Draining && b.aside[j] && (b.overdue || !b.served[j]) {
-			later = append(later, j)
+// usableReservations returns the demands whose reservations without preemption may be used by the current
+// demand: those served later, and also those served before if the current demand has waited too long beside
+// ample capacity.
+func (pl *planner) usableReservations() []int {
+	var usable []int
+	for j := range pl.view.Demands {
+		if pl.view.Demands[j].Draining && pl.deducted[j] && (pl.waitedTooLong || !pl.served[j]) {
+			usable = append(usable, j)
 		}
 	}
-	return later
+	return usable
 }
 
-// dropTaken gives up draining room of which the last start took a part.
-func (b *board) dropTaken(later []int) {
+// dropUsedReservations drops the reservations that the last start used in part.
+func (pl *planner) dropUsedReservations(reservations []int) {
 	used := map[string]bool{}
-	for _, worker := range b.outcome.Starts[len(b.outcome.Starts)-1].Workers {
+	for _, worker := range pl.outcome.Starts[len(pl.outcome.Starts)-1].Workers {
 		used[worker] = true
 	}
-	for _, j := range later {
-		if b.isTaken(j, used) {
-			b.unclaim(j)
-			b.draining -= len(b.view.Demands[j].Claim)
-			b.dropped[j] = true
-			b.outcome.Dropped = append(b.outcome.Dropped, j)
+	for _, j := range reservations {
+		if pl.isReservationUsed(j, used) {
+			pl.returnReservation(j)
+			pl.unpreemptedTasks -= len(pl.view.Demands[j].Claim)
+			pl.droppedReservations[j] = true
+			pl.outcome.Dropped = append(pl.outcome.Dropped, j)
 		}
 	}
 }
 
-// isTaken reports whether a demand's draining room is on a used worker that has none left for it.
-func (b *board) isTaken(j int, used map[string]bool) bool {
-	for _, worker := range b.view.Demands[j].Claim {
-		if k, ok := b.seat(worker); ok && used[worker] && !b.free[k].Fits(job.Resources{}) {
+// isReservationUsed reports whether the last start left too little capacity for a demand's reservation on
+// one of the used workers.
+func (pl *planner) isReservationUsed(j int, used map[string]bool) bool {
+	for _, worker := range pl.view.Demands[j].Claim {
+		if k, ok := pl.workerIndex(worker); ok && used[worker] && !pl.free[k].Fits(job.Resources{}) {
 			return true
 		}
 	}
 	return false
 }
 
-// slot is room for one task on a worker, and when it comes free.
+// slot is capacity for one task on a worker, and the time until it comes free.
 type slot struct {
-	worker int
-	after  time.Duration
+	worker    int
+	freeAfter time.Duration
 }
 
-// drainOf finds the slots of some workers that come free first, and when the last of them does.
-func (b *board) drainOf(d *Demand, among []int) (map[int]string, time.Duration) {
-	if !b.couldHold(d, among) {
+// earliestCapacity returns the workers, by task index, on which capacity for all waiting tasks comes free
+// first, and the time until all of it is free. It returns nil if they don't have enough capacity.
+func (pl *planner) earliestCapacity(d *Demand, among []int) (map[int]string, time.Duration) {
+	if !pl.fitsWhenEmpty(d, among) {
 		return nil, 0
 	}
 	var slots []slot
 	for _, k := range among {
-		if b.suits(k) {
-			slots = append(slots, b.slots(d, k)...)
+		if pl.isSuitable(k) {
+			slots = append(slots, pl.slots(d, k)...)
 		}
 	}
 	if len(slots) < len(d.Waiting) {
 		return nil, 0
 	}
-	slices.SortStableFunc(slots, func(x, y slot) int { return cmp.Compare(x.after, y.after) })
+	slices.SortStableFunc(slots, func(x, y slot) int { return cmp.Compare(x.freeAfter, y.freeAfter) })
 	workers := make(map[int]string, len(d.Waiting))
 	for n, index := range d.Waiting {
-		workers[index] = b.view.Workers[slots[n].worker].ID
+		workers[index] = pl.view.Workers[slots[n].worker].ID
 	}
-	return workers, slots[len(d.Waiting)-1].after
+	return workers, slots[len(d.Waiting)-1].freeAfter
 }
 
-// slots lists when room for one task, for two, and so on, comes free on a worker, its holdings ending as expected.
-func (b *board) slots(d *Demand, k int) []slot {
-	holdings := slices.Clone(b.onWorker[k])
-	slices.SortStableFunc(holdings, func(x, y int) int {
-		return cmp.Compare(b.view.Holdings[x].Remaining, b.view.Holdings[y].Remaining)
+// slots returns the slots of a worker for the demand's tasks, in the order in which they come free. Each
+// allocation is taken to end at its expected time.
+func (pl *planner) slots(d *Demand, k int) []slot {
+	allocations := slices.Clone(pl.onWorker[k])
+	slices.SortStableFunc(allocations, func(x, y int) int {
+		return cmp.Compare(pl.view.Holdings[x].Remaining, pl.view.Holdings[y].Remaining)
 	})
-	room := b.free[k]
+	free := pl.free[k]
 	var list []slot
 	add := func(after time.Duration) {
-		for range b.copies(d, k, room) - len(list) {
+		for range pl.fittingTasks(d, k, free) - len(list) {
 			list = append(list, slot{k, after})
 		}
 	}
 	add(0)
-	for _, h := range holdings {
-		room = room.Add(b.view.Holdings[h].Each)
-		add(b.view.Holdings[h].Remaining)
+	for _, h := range allocations {
+		free = free.Add(pl.view.Holdings[h].Each)
+		add(pl.view.Holdings[h].Remaining)
 	}
 	return list
 }
--- a/internal/placement/layout.go
+++ b/internal/placement/layout.go
@@ -8,131 +8,138 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// consider makes a demand the one that suits speaks of. Workers that it shuns are suitable only once it has waited for too long beside plenty of room: a
-// task that had failed on the only worker with its label was never tried again, and one that was to run alone waited for 3 s.
-func (b *board) consider(d *Demand) {
-	for k := range b.view.Workers {
-		w := &b.view.Workers[k]
-		b.suitable[k] = w.Usable && w.Service == d.Service && (d.Step.Label == "" || slices.Contains(w.Labels, d.Step.Label))
-		b.shunned[k] = b.suitable[k] && (d.Avoid[w.ID] || b.isSuspected(d, k))
-		b.shared[k] = len(d.Apart) > 0 && b.sharesWith(d, k)
-	}
-	if b.overdue = b.idleTooLong(d); b.overdue {
+// consider makes a demand the current one: it computes which workers are suitable for it. Workers to avoid
+// become suitable once the demand has waited too long beside ample capacity. Without that, a task that had
+// failed on the only worker with its label was never retried, and one that must run alone waited for 3 s.
+func (pl *planner) consider(d *Demand) {
+	for k := range pl.view.Workers {
+		w := &pl.view.Workers[k]
+		pl.suitable[k] = w.Usable && w.Service == d.Service && (d.Step.Label == "" || slices.Contains(w.Labels, d.Step.Label))
+		pl.avoided[k] = pl.suitable[k] && (d.Avoid[w.ID] || pl.needsIsolation(d, k))
+		pl.hasAntiAffinity[k] = len(d.Apart) > 0 && pl.runsAntiAffine(d, k)
+	}
+	if pl.waitedTooLong = pl.waitedBesideAmpleCapacity(d); pl.waitedTooLong {
 		return
 	}
-	again := b.triesAgain(d)
-	for k, shunned := range b.shunned {
-		if shunned && (!again || b.isSuspected(d, k)) {
-			b.suitable[k] = false
+	retry := pl.mayRetryOnAvoided(d)
+	for k, avoided := range pl.avoided {
+		if avoided && (!retry || pl.needsIsolation(d, k)) {
+			pl.suitable[k] = false
 		}
 	}
 }
 
-// triesAgain reports whether a demand may start on workers on which it has failed: lasting work, which fails at any moment, and what would not fit elsewhere
-// if all were empty.
-func (b *board) triesAgain(d *Demand) bool {
+// mayRetryOnAvoided reports whether a demand may start on workers on which it has failed. That holds for
+// lasting work, which may fail at any time, and for work that would not fit elsewhere even if all other
+// workers were empty.
+func (pl *planner) mayRetryOnAvoided(d *Demand) bool {
 	if len(d.Avoid) == 0 || d.Step.Lasting {
 		return d.Step.Lasting
 	}
-	need, room := 1, 0
+	wanted, fitting := 1, 0
 	if d.Step.Gang {
-		need = len(d.Waiting)
+		wanted = len(d.Waiting)
 	}
-	for k := range b.view.Workers {
-		if w := &b.view.Workers[k]; !d.Avoid[w.ID] {
-			room += b.copiesOf(d, k, w.Capacity, need)
+	for k := range pl.view.Workers {
+		if w := &pl.view.Workers[k]; !d.Avoid[w.ID] {
+			fitting += pl.fittingTasksOf(d, k, w.Capacity, wanted)
 		}
 	}
-	return room < need
+	return fitting < wanted
 }
 
-// sharesWith reports whether a job runs on a worker, or begins there by this decision, that was lost together with a demand's: one of them may crash its
-// workers, and as long as they begin together nothing tells which. A sound job was given up beside one that crashed its workers after
-// 2.5 s in a quarter of the runs of a drawn script, as both went to the fullest worker each time.
-func (b *board) sharesWith(d *Demand, k int) bool {
-	return d.Apart[b.begun[k]] ||
-		slices.ContainsFunc(b.onWorker[k], func(h int) bool { return d.Apart[b.view.Holdings[h].Job] })
+// runsAntiAffine reports whether a job that the demand has anti-affinity to runs on a worker or starts
+// there by this decision. The two were lost together, so either may crash workers, and the next loss tells
+// which one only if they start on different workers. Without this rule both started on the fullest worker
+// each time, and in a quarter of the runs of a random test the sound job was failed beside one that crashed
+// its workers after 2.5 s.
+func (pl *planner) runsAntiAffine(d *Demand, k int) bool {
+	return d.Apart[pl.justStarted[k]] ||
+		slices.ContainsFunc(pl.onWorker[k], func(h int) bool { return d.Apart[pl.view.Holdings[h].Job] })
 }
 
-// unwanted is 2 for a worker that the considered demand shuns, 1 for one that it shares with a job that it is to begin apart from.
-func (b *board) unwanted(k int) int {
+// avoidanceLevel returns 2 for a worker that the current demand avoids, 1 for one with a job that it has
+// anti-affinity to, and 0 for the rest.
+func (pl *planner) avoidanceLevel(k int) int {
 	switch {
-	case b.shunned[k]:
+	case pl.avoided[k]:
 		return 2
-	case b.shared[k]:
+	case pl.hasAntiAffinity[k]:
 		return 1
 	}
 	return 0
 }
 
-// isSuspected reports whether a demand is not to start on a worker because one of two jobs may be about to crash it, so that less is lost
-// with it, and it is known which one did. A sound job that was lost beside one that crashes workers began anew beside it each time
-// otherwise, and was given up with it; and one that crashes workers went unnoticed beside another one for six starts.
-// Guaranteed work begins there all the same before its time runs out, and has the suspect work stopped for it.
-func (b *board) isSuspected(d *Demand, k int) bool {
-	if b.mustBegin(d) {
+// needsIsolation reports whether a demand must not start on a worker because it, or a job there, may be
+// about to crash the worker. Keeping them apart limits the loss and shows which job caused it. Without this
+// rule a sound job was restarted beside the crashing one each time and failed with it, and a crashing job
+// went undetected beside another for six starts. Guaranteed work close to its start limit starts there all
+// the same, and preempts the suspect work.
+func (pl *planner) needsIsolation(d *Demand, k int) bool {
+	if pl.mustPreemptForGuarantee(d) {
 		return false
 	}
 	other := func(id job.ID) bool { return id != "" && id != d.Job }
-	return other(b.suspects[k]) || d.Suspect && other(b.begun[k]) || b.wantsAlone(d) && (other(b.begun[k]) || b.isShared(d, k))
+	return other(pl.suspectJobs[k]) || d.Suspect && other(pl.justStarted[k]) || pl.waitsForExclusiveWorker(d) && (other(pl.justStarted[k]) || pl.runsOtherJob(d, k))
 }
 
-// alonePatience is how long work that is to run alone waits for workers on which nothing else runs.
-const alonePatience = 3 * time.Second
+// exclusiveWaitLimit is how long work that must run alone waits for workers on which nothing else runs.
+const exclusiveWaitLimit = 3 * time.Second
 
-// wantsAlone reports whether a demand waits for workers on which nothing else runs.
-func (b *board) wantsAlone(d *Demand) bool {
-	return d.Alone && b.view.Now.Sub(d.Since) < alonePatience
+// waitsForExclusiveWorker reports whether a demand waits for workers on which nothing else runs.
+func (pl *planner) waitsForExclusiveWorker(d *Demand) bool {
+	return d.Alone && pl.view.Now.Sub(d.Since) < exclusiveWaitLimit
 }
 
-// isShared reports whether another job's work runs on a worker.
-func (b *board) isShared(d *Demand, k int) bool {
-	return slices.ContainsFunc(b.onWorker[k], func(h int) bool { return b.view.Holdings[h].Job != d.Job })
+// runsOtherJob reports whether a task of another job runs on a worker.
+func (pl *planner) runsOtherJob(d *Demand, k int) bool {
+	return slices.ContainsFunc(pl.onWorker[k], func(h int) bool { return pl.view.Holdings[h].Job != d.Job })
 }
 
-// isCareful reports whether tasks of a demand with one attempt left are to run only on workers on which something has worked of
-// late: for as long as they can wait for them.
-func (b *board) isCareful(d *Demand) bool {
-	return len(d.LastAttempts) > 0 && b.view.Now.Sub(d.Since) < carefulPatience && !b.overdue
+// needsProvenWorkers reports whether tasks of a demand with one attempt left must run on proven workers
+// only: those on which a task has succeeded recently. They must until their wait limit ends.
+func (pl *planner) needsProvenWorkers(d *Demand) bool {
+	return len(d.LastAttempts) > 0 && pl.view.Now.Sub(d.Since) < provenWaitLimit && !pl.waitedTooLong
 }
 
-// avoidUnproven leaves a gang with one attempt left only proven workers.
-func (b *board) avoidUnproven(d *Demand) {
-	if !d.Step.Gang || !b.isCareful(d) {
+// excludeUnproven excludes unproven workers for a gang with one attempt left.
+func (pl *planner) excludeUnproven(d *Demand) {
+	if !d.Step.Gang || !pl.needsProvenWorkers(d) {
 		return
 	}
-	for k := range b.view.Workers {
-		b.suitable[k] = b.suitable[k] && !b.view.Workers[k].Unproven
+	for k := range pl.view.Workers {
+		pl.suitable[k] = pl.suitable[k] && !pl.view.Workers[k].Unproven
 	}
 }
 
-// carefulPatience is how long work with one attempt left waits for workers on which something has worked of late. With 2 s
-// four gangs of 38 to 54 members found no room on such workers in a day, and failed for good on others.
-const carefulPatience = 5 * time.Second
+// provenWaitLimit is how long work with one attempt left waits for proven workers. With 2 s four gangs of
+// 38 to 54 members in a day found too few of them, and used up their last attempt on unproven ones.
+const provenWaitLimit = 5 * time.Second
 
-// suits reports whether a worker may run tasks of the considered demand, room aside.
-func (b *board) suits(k int) bool { return b.suitable[k] }
+// isSuitable reports whether a worker may run tasks of the current demand, whether it has free capacity or not.
+func (pl *planner) isSuitable(k int) bool { return pl.suitable[k] }
 
-// copies is how many of a demand's waiting tasks a worker could take.
-func (b *board) copies(d *Demand, k int, free job.Resources) int {
-	return b.copiesOf(d, k, free, len(d.Waiting))
+// fittingTasks returns how many of a demand's waiting tasks fit on a worker with the given free capacity.
+func (pl *planner) fittingTasks(d *Demand, k int, free job.Resources) int {
+	return pl.fittingTasksOf(d, k, free, len(d.Waiting))
 }
 
-// copiesOf is how many of n tasks like a demand's a worker could take.
-func (b *board) copiesOf(d *Demand, k int, free job.Resources, n int) int {
-	if !b.suits(k) {
+// fittingTasksOf returns how many of n tasks of a demand fit on a worker with the given free capacity.
+func (pl *planner) fittingTasksOf(d *Demand, k int, free job.Resources, n int) int {
+	if !pl.isSuitable(k) {
 		return 0
 	}
-	n = atMost(n, free.MilliCPU, d.Step.Each.MilliCPU)
-	n = atMost(n, free.MemoryMB, d.Step.Each.MemoryMB)
-	n = atMost(n, free.Accelerators, d.Step.Each.Accelerators)
+	n = fittingByResource(n, free.MilliCPU, d.Step.Each.MilliCPU)
+	n = fittingByResource(n, free.MemoryMB, d.Step.Each.MemoryMB)
+	n = fittingByResource(n, free.Accelerators, d.Step.Each.Accelerators)
 	if d.Step.MostPerWorker > 0 {
-		n = min(n, d.Step.MostPerWorker-d.Placed[b.view.Workers[k].ID])
+		n = min(n, d.Step.MostPerWorker-d.Placed[pl.view.Workers[k].ID])
 	}
 	return max(n, 0)
 }
 
-func atMost(n int, free, each int64) int {
+// fittingByResource returns how many of n tasks fit into the free amount of one resource.
+func fittingByResource(n int, free, each int64) int {
 	switch {
 	case each <= 0:
 		return n
@@ -142,82 +149,85 @@
 	return min(n, int(free/each))
 }
 
-// layoutRank orders the racks that take a gang: the least hazard, no very slow worker, the least room left.
+// layoutRank orders the racks for a gang: fewest tasks on risky workers, then no very slow worker, then
+// least free capacity.
 type layoutRank struct {
-	hazard, slow int
-	free         int64
+	risky, slow int
+	free        int64
 }
 
+// before reports whether r is preferred to o.
 func (r layoutRank) before(o layoutRank) bool {
-	return cmp.Or(cmp.Compare(r.hazard, o.hazard), cmp.Compare(r.slow, o.slow), cmp.Compare(r.free, o.free)) < 0
+	return cmp.Or(cmp.Compare(r.risky, o.risky), cmp.Compare(r.slow, o.slow), cmp.Compare(r.free, o.free)) < 0
 }
 
-// layGang finds room for a whole gang: in the fullest rack that takes it, or over racks where that costs nothing or can't
-// be helped.
-func (b *board) layGang(d *Demand) map[int]string {
+// assignGang returns workers for a whole gang, by task index: in the fullest rack that fits it, or across
+// racks if it does not need one rack, if no rack could ever hold it, or if it must not wait any longer. It
+// returns nil if the gang does not fit.
+func (pl *planner) assignGang(d *Demand) map[int]string {
 	if !d.Step.RackLocal {
-		return b.spread(d, b.everyone, len(d.Waiting))
+		return pl.packTasks(d, pl.allWorkers, len(d.Waiting))
 	}
 	var best map[int]string
 	var bestRank layoutRank
-	for _, rack := range b.racks {
-		workers := b.spread(d, rack, len(d.Waiting))
+	for _, rack := range pl.racks {
+		workers := pl.packTasks(d, rack, len(d.Waiting))
 		if workers == nil {
 			continue
 		}
-		rank := layoutRank{b.hazard(workers), b.slowest(workers), b.rackFree(rack)}
+		rank := layoutRank{pl.riskyTasks(workers), pl.maxSlowLevel(workers), pl.freeAccelerators(rack)}
 		if best == nil || rank.before(bestRank) {
 			best, bestRank = workers, rank
 		}
 	}
-	if best == nil && (b.mustSpread(d) || !b.anyRackCould(d)) {
-		return b.spread(d, b.everyone, len(d.Waiting))
+	if best == nil && (pl.mustCrossRacks(d) || !pl.fitsAnyEmptyRack(d)) {
+		return pl.packTasks(d, pl.allWorkers, len(d.Waiting))
 	}
 	return best
 }
 
-// hazard is how many tasks of a layout are on workers that may fail everything, or that the demand shuns.
-func (b *board) hazard(workers map[int]string) int {
+// riskyTasks returns how many tasks of a layout are on workers that are unproven or to be avoided.
+func (pl *planner) riskyTasks(workers map[int]string) int {
 	n := 0
 	for _, w := range workers {
-		if k := b.mustSeat(w); b.view.Workers[k].Unproven || b.shunned[k] {
+		if k := pl.mustWorkerIndex(w); pl.view.Workers[k].Unproven || pl.avoided[k] {
 			n++
 		}
 	}
 	return n
 }
 
-// slowest is the slowness of the slowest worker of a layout, on which the whole gang waits.
-func (b *board) slowest(workers map[int]string) int {
+// maxSlowLevel returns the slowness level of the slowest worker of a layout, which delays the whole gang.
+func (pl *planner) maxSlowLevel(workers map[int]string) int {
 	level := 0
 	for _, w := range workers {
-		level = max(level, b.slowLevel(b.mustSeat(w)))
+		level = max(level, pl.slowLevel(pl.mustWorkerIndex(w)))
 	}
 	return level
 }
 
-// anyRackCould reports whether a rack could hold the gang if it were empty.
-func (b *board) anyRackCould(d *Demand) bool {
-	return slices.ContainsFunc(b.racks, func(rack []int) bool { return b.couldHold(d, rack) })
+// fitsAnyEmptyRack reports whether any rack could hold the gang if it were empty.
+func (pl *planner) fitsAnyEmptyRack(d *Demand) bool {
+	return slices.ContainsFunc(pl.racks, func(rack []int) bool { return pl.fitsWhenEmpty(d, rack) })
 }
 
-// couldHold reports whether some workers could hold all waiting tasks of a demand if they were empty.
-func (b *board) couldHold(d *Demand, among []int) bool {
-	room := 0
+// fitsWhenEmpty reports whether the given workers could hold all waiting tasks of a demand if they were empty.
+func (pl *planner) fitsWhenEmpty(d *Demand, among []int) bool {
+	fitting := 0
 	for _, k := range among {
-		room += b.copies(d, k, b.view.Workers[k].Capacity)
-		if room >= len(d.Waiting) {
+		fitting += pl.fittingTasks(d, k, pl.view.Workers[k].Capacity)
+		if fitting >= len(d.Waiting) {
 			return true
 		}
 	}
 	return false
 }
 
-// fits is how many of a demand's tasks fit into the room of some workers, at most as many as wait.
-func (b *board) fits(d *Demand, among []int, room []job.Resources) int {
+// fittingTasksAmong returns how many of a demand's waiting tasks fit into the given capacity of some workers.
+func (pl *planner) fittingTasksAmong(d *Demand, among []int, free []job.Resources) int {
 	n := 0
 	for _, k := range among {
-		n += b.copies(d, k, room[k])
+		n += pl.fittingTasks(d, k, free[k])
 		if n >= len(d.Waiting) {
 			return len(d.Waiting)
 		}
@@ -225,37 +235,39 @@
 	return n
 }
 
-func (b *board) rackFree(rack []int) int64 {
+// freeAccelerators returns the number of free accelerators on the usable workers of a rack.
+func (pl *planner) freeAccelerators(rack []int) int64 {
 	sum := int64(0)
 	for _, k := range rack {
-		if b.view.Workers[k].Usable {
-			sum += b.free[k].Accelerators
+		if pl.view.Workers[k].Usable {
+			sum += pl.free[k].Accelerators
 		}
 	}
 	return sum
 }
 
-// unproven is 1 for a worker that may fail everything.
-func unproven(w *Worker) int {
+// unprovenRank returns 1 for an unproven worker and 0 for others, to sort by.
+func unprovenRank(w *Worker) int {
 	if w.Unproven {
 		return 1
 	}
 	return 0
 }
 
-// spread lays need tasks onto some of the workers, the fullest that fit first; nil where they don't all fit.
-func (b *board) spread(d *Demand, among []int, need int) map[int]string {
-	if b.fits(d, among, b.free) < need {
+// packTasks assigns need tasks to some of the workers, the fullest that fit first. It returns nil if they
+// don't all fit.
+func (pl *planner) packTasks(d *Demand, among []int, need int) map[int]string {
+	if pl.fittingTasksAmong(d, among, pl.free) < need {
 		return nil
 	}
-	order := b.fullestFirst(d, among)
+	order := pl.fullestFirst(d, among)
 	workers := map[int]string{}
 	for _, k := range order {
-		for range b.copies(d, k, b.free[k]) {
+		for range pl.fittingTasks(d, k, pl.free[k]) {
 			if len(workers) == need {
 				break
 			}
-			workers[d.Waiting[len(workers)]] = b.view.Workers[k].ID
+			workers[d.Waiting[len(workers)]] = pl.view.Workers[k].ID
 		}
 	}
 	if len(workers) < need {
@@ -264,117 +276,121 @@
 	return workers
 }
 
-// verySlowAt is how many times slower than others a worker must be to be shunned: work there is late. Lesser differences
-// are not worth the packing that shunning costs (tried: a third of the workers takes 1.3 times as long).
-const verySlowAt = 2
+// verySlowFactor is the slowness from which a worker is avoided because work there ends late. Avoiding
+// lesser ones, such as a third of the workers with runs 1.3 times as long, costs more in packing than it
+// gains.
+const verySlowFactor = 2
 
-// slowLevel is 1 for a worker that is to be shunned for its slowness.
-func (b *board) slowLevel(k int) int {
-	if b.view.Workers[k].Slowness >= verySlowAt {
+// slowLevel returns 1 for a worker that is avoided for its slowness and 0 for others.
+func (pl *planner) slowLevel(k int) int {
+	if pl.view.Workers[k].Slowness >= verySlowFactor {
 		return 1
 	}
 	return 0
 }
 
-// fullestFirst orders workers that fit at least one task: those that are not shunned first, then those without jobs to begin apart from, then trusted ones, then all but very slow ones, then those with the least
-// room left.
-func (b *board) fullestFirst(d *Demand, among []int) []int {
+// fullestFirst returns the workers that fit at least one task, in order of preference: not avoided, no job with
+// anti-affinity, low failure score, proven, not very slow, least free capacity.
+func (pl *planner) fullestFirst(d *Demand, among []int) []int {
 	var order []int
 	for _, k := range among {
-		if b.copies(d, k, b.free[k]) > 0 {
+		if pl.fittingTasks(d, k, pl.free[k]) > 0 {
 			order = append(order, k)
 		}
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
 		return cmp.Or(
-			cmp.Compare(b.unwanted(x), b.unwanted(y)),
-			cmp.Compare(b.view.Workers[x].Doubt, b.view.Workers[y].Doubt),
-			cmp.Compare(unproven(&b.view.Workers[x]), unproven(&b.view.Workers[y])),
-			cmp.Compare(b.slowLevel(x), b.slowLevel(y)),
-			cmp.Compare(b.free[x].Cores(), b.free[y].Cores()),
-			cmp.Compare(b.view.Workers[x].ID, b.view.Workers[y].ID))
+			cmp.Compare(pl.avoidanceLevel(x), pl.avoidanceLevel(y)),
+			cmp.Compare(pl.view.Workers[x].Doubt, pl.view.Workers[y].Doubt),
+			cmp.Compare(unprovenRank(&pl.view.Workers[x]), unprovenRank(&pl.view.Workers[y])),
+			cmp.Compare(pl.slowLevel(x), pl.slowLevel(y)),
+			cmp.Compare(pl.free[x].Cores(), pl.free[y].Cores()),
+			cmp.Compare(pl.view.Workers[x].ID, pl.view.Workers[y].ID))
 	})
 	return order
 }
 
-// nearPatience is how long, as a share of the time to its goal, a task waits for room near its data, unless there is plenty elsewhere.
-const nearPatience = 0.25
+// localityWaitShare is how long a task waits for capacity near its data, as a share of the time to its
+// goal. It does not wait as long if capacity elsewhere is ample.
+const localityWaitShare = 0.25
 
-// waitsNear reports whether the considered demand waits for room near its data.
-func (b *board) waitsNear(d *Demand) bool {
-	return d.Step.DataRack != "" && !b.overdue && b.view.Now.Sub(d.Since) < time.Duration(nearPatience*float64(d.Goal.Sub(d.Since)))
+// waitsForLocality reports whether the current demand still waits for capacity near its data.
+func (pl *planner) waitsForLocality(d *Demand) bool {
+	return d.Step.DataRack != "" && !pl.waitedTooLong && pl.view.Now.Sub(d.Since) < time.Duration(localityWaitShare*float64(d.Goal.Sub(d.Since)))
 }
 
-// laySingles lays as many tasks as fit, near their data where they have any. Tasks with one attempt left come first, and among
-// unproven workers only on proven ones: on a day with 9% of 350 workers failing all for 6 s jobs of 15 to 177 single tasks with two attempts each
-// lost both of one task 0.2 to 4.4 s after they came: 6 of the 8 jobs that failed for good on that day.
-func (b *board) laySingles(d *Demand) map[int]string {
-	among := b.everyone
-	if b.waitsNear(d) {
-		among = b.near(d.Step.DataRack)
+// assignSingles assigns as many tasks as fit, in the rack of their data if they still wait for that. While
+// some workers may fail every task, tasks with one attempt left come first and use proven workers only. On
+// a day with 9% of 350 workers failing every task for 6 s, 6 of the 8 jobs that failed had 15 to 177 single
+// tasks with two attempts each, and lost both attempts of one task within 0.2 to 4.4 s.
+func (pl *planner) assignSingles(d *Demand) map[int]string {
+	among := pl.allWorkers
+	if pl.waitsForLocality(d) {
+		among = pl.workersInRack(d.Step.DataRack)
 	}
-	l := &layout{board: b, demand: d, workers: map[int]string{}, taken: map[int]int{}}
-	order := b.openTo(d, b.fullestFirst(d, among))
-	if !b.isCareful(d) {
-		l.lay(d.Waiting, order)
+	l := &layout{planner: pl, demand: d, workers: map[int]string{}, assigned: map[int]int{}}
+	order := pl.withoutReserve(d, pl.fullestFirst(d, among))
+	if !pl.needsProvenWorkers(d) {
+		l.assign(d.Waiting, order)
 		return l.workers
 	}
-	careful, others := splitWaiting(d)
-	l.lay(careful, b.proven(order))
-	l.lay(others, order)
+	lastAttempt, others := splitByLastAttempt(d)
+	l.assign(lastAttempt, pl.provenOnly(order))
+	l.assign(others, order)
 	return l.workers
 }
 
-// openTo leaves out the idle workers that a demand leaves to urgent work.
-func (b *board) openTo(d *Demand, order []int) []int {
-	if !b.keepsReserve(d) || b.idle > b.reserve {
+// withoutReserve removes the idle workers that a demand must leave to urgent work.
+func (pl *planner) withoutReserve(d *Demand, order []int) []int {
+	if !pl.leavesReserve(d) || pl.idleCount > pl.reservedIdle {
 		return order
 	}
-	return slices.DeleteFunc(order, b.isIdle)
+	return slices.DeleteFunc(order, pl.isIdle)
 }
 
-// proven leaves out the workers that may fail everything.
-func (b *board) proven(order []int) []int {
-	return slices.DeleteFunc(slices.Clone(order), func(k int) bool { return b.view.Workers[k].Unproven })
+// provenOnly returns the workers without the unproven ones.
+func (pl *planner) provenOnly(order []int) []int {
+	return slices.DeleteFunc(slices.Clone(order), func(k int) bool { return pl.view.Workers[k].Unproven })
 }
 
-// splitWaiting parts the waiting tasks with one attempt left from the others.
-func splitWaiting(d *Demand) (careful, others []int) {
+// splitByLastAttempt separates the waiting tasks with one attempt left from the others.
+func splitByLastAttempt(d *Demand) (lastAttempt, others []int) {
 	for _, index := range d.Waiting {
 		if d.LastAttempts[index] {
-			careful = append(careful, index)
+			lastAttempt = append(lastAttempt, index)
 			continue
 		}
 		others = append(others, index)
 	}
-	return careful, others
+	return lastAttempt, others
 }
 
-// layout is where the single tasks of a demand go, as it is being made.
+// layout is the assignment of a demand's single tasks to workers while it is being made.
 type layout struct {
-	board   *board
-	demand  *Demand
-	workers map[int]string
-	taken   map[int]int // By worker: tasks that were laid there.
+	planner  *planner
+	demand   *Demand
+	workers  map[int]string // Worker by task index.
+	assigned map[int]int    // By worker index: number of tasks assigned there.
 }
 
-// lay puts tasks onto workers, in the order of both, as far as there is room.
-func (l *layout) lay(tasks, order []int) {
+// assign assigns tasks to workers, in the order of both, while there is free capacity.
+func (l *layout) assign(tasks, order []int) {
 	for _, k := range order {
-		for range l.board.copies(l.demand, k, l.board.free[k]) - l.taken[k] {
+		for range l.planner.fittingTasks(l.demand, k, l.planner.free[k]) - l.assigned[k] {
 			if len(tasks) == 0 {
 				return
 			}
-			l.workers[tasks[0]] = l.board.view.Workers[k].ID
-			l.taken[k]++
+			l.workers[tasks[0]] = l.planner.view.Workers[k].ID
+			l.assigned[k]++
 			tasks = tasks[1:]
 		}
 	}
 }
 
-func (b *board) near(rack string) []int {
-	for _, workers := range b.racks {
-		if b.view.Workers[workers[0]].Rack == rack {
+// workersInRack returns the worker indexes of a rack.
+func (pl *planner) workersInRack(rack string) []int {
+	for _, workers := range pl.racks {
+		if pl.view.Workers[workers[0]].Rack == rack {
 			return workers
 		}
 	}
--- a/internal/placement/patience.go
+++ b/internal/placement/patience.go
@@ -6,87 +6,91 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// lastMoment is how long before the last start that is in time a demand has work of lower priority stopped for it, with
-// what the stop itself takes.
-const lastMoment = 2 * time.Second
+// preemptionLeadTime is how long before its latest start in time a demand preempts work of lower priority,
+// in addition to the time that a stop takes.
+const preemptionLeadTime = 2 * time.Second
 
-// runSlack is how much longer than expected a run is taken to last when its last start in time is reckoned: declared and
-// learned run times are off by about that.
-const runSlack = 1.25
+// runTimeMargin is the factor on the expected run time when the latest start in time is computed. Declared
+// and learned run times are off by about that much.
+const runTimeMargin = 1.25
 
-// impatient reports whether work is to be stopped for a demand now. Urgent work does not wait at all, as a stop takes long
-// against its time to the goal; other work waits for room to come free for as long as it can.
-func (b *board) impatient(d *Demand) bool {
+// mayPreemptNow reports whether work may be preempted for a demand now. Urgent work does not wait, because
+// a stop takes long compared with the time to its goal. Other work waits for capacity to come free as long
+// as it can.
+func (pl *planner) mayPreemptNow(d *Demand) bool {
 	if d.Priority == 0 {
 		return true
 	}
-	_, goal := b.stake(d)
-	last := goal.Add(-time.Duration(runSlack * float64(d.Remaining)))
-	return b.view.Now.Add(b.view.Policy.StopTime + lastMoment).After(last)
+	_, goal := pl.valueAtStake(d)
+	last := goal.Add(-time.Duration(runTimeMargin * float64(d.Remaining)))
+	return pl.view.Now.Add(pl.view.Policy.StopTime + preemptionLeadTime).After(last)
 }
 
-// spreadAfter is the share of the time within which guaranteed work must have begun that it waits for room in one rack.
-const spreadAfter = 0.55
+// rackWaitShare is the share of the start limit of guaranteed work for which it waits for capacity in one rack.
+const rackWaitShare = 0.55
 
-// mustBegin reports whether the time within which guaranteed work must have begun runs out: room that is made now comes
-// free about when the work would be spread.
-func (b *board) mustBegin(d *Demand) bool {
-	return d.Covered && b.view.Now.Sub(d.Since) >= b.rackPatience()-b.view.Policy.StopTime
+// mustPreemptForGuarantee reports whether guaranteed work must preempt now to start within its limit:
+// capacity freed by a stop now is free about when the work would otherwise be spread over racks.
+func (pl *planner) mustPreemptForGuarantee(d *Demand) bool {
+	return d.Covered && pl.view.Now.Sub(d.Since) >= pl.rackWaitLimit()-pl.view.Policy.StopTime
 }
 
-// rackPatience is how long guaranteed work waits for room in one rack.
-func (b *board) rackPatience() time.Duration {
-	return time.Duration(spreadAfter * float64(b.view.Policy.Reclaim))
+// rackWaitLimit returns how long guaranteed work waits for capacity in one rack.
+func (pl *planner) rackWaitLimit() time.Duration {
+	return time.Duration(rackWaitShare * float64(pl.view.Policy.Reclaim))
 }
 
-// mustSpread reports whether a gang is to run slowly over several racks rather than wait for one: guaranteed work when the
-// time within which it must begin runs out, other work when it has waited beside plenty of room.
-func (b *board) mustSpread(d *Demand) bool {
+// mustCrossRacks reports whether a gang must run slowly across several racks instead of waiting for one.
+// Guaranteed work must when its start limit is close, other work when it has waited too long beside ample
+// capacity.
+func (pl *planner) mustCrossRacks(d *Demand) bool {
 	if d.Covered {
-		return b.view.Now.Sub(d.Since) >= b.rackPatience()
+		return pl.view.Now.Sub(d.Since) >= pl.rackWaitLimit()
 	}
-	return b.overdue
+	return pl.waitedTooLong
 }
 
-// idlePatience is how long work waits for better room while there is plenty of room in all: less than the 3 s after which
-// it must not be left waiting beside idle workers (the users' rules).
-const idlePatience = 2 * time.Second
+// ampleCapacityWaitLimit is how long work waits for a better place while capacity is ample. It is below the
+// 3 s after which work must not be left waiting beside idle workers.
+const ampleCapacityWaitLimit = 2 * time.Second
 
-// idleTooLong reports whether a demand has waited for longer than it should beside plenty of room.
-func (b *board) idleTooLong(d *Demand) bool {
-	return b.view.Now.Sub(d.Since) >= idlePatience && b.roomTwice(d)
+// waitedBesideAmpleCapacity reports whether a demand has waited too long beside ample capacity.
+func (pl *planner) waitedBesideAmpleCapacity(d *Demand) bool {
+	return pl.view.Now.Sub(d.Since) >= ampleCapacityWaitLimit && pl.hasAmpleCapacity(d)
 }
 
-// roomTwice reports whether the demand's service is less than half in use, and all racks together have room for what must not wait twice over.
-func (b *board) roomTwice(d *Demand) bool {
-	need, room, free, all := 2*b.leastStart(d), 0, 0.0, 0.0
-	for k := range b.view.Workers {
-		w := &b.view.Workers[k]
+// hasAmpleCapacity reports whether less than half of the demand's service is in use, and the free capacity
+// of all racks fits twice as many tasks as minTasksToStart returns.
+func (pl *planner) hasAmpleCapacity(d *Demand) bool {
+	need, fitting, free, total := 2*pl.minTasksToStart(d), 0, 0.0, 0.0
+	for k := range pl.view.Workers {
+		w := &pl.view.Workers[k]
 		if w.Service != d.Service {
 			continue
 		}
 		free += w.Free.Cores()
-		all += w.Capacity.Cores()
-		room += b.copiesOf(d, k, w.Free, need)
+		total += w.Capacity.Cores()
+		fitting += pl.fittingTasksOf(d, k, w.Free, need)
 	}
-	return room >= need && free > all/2
+	return fitting >= need && free > total/2
 }
 
-// leastStart is how many tasks of a demand must not wait beside plenty of room: of a job of which nothing runs a single one is enough.
-func (b *board) leastStart(d *Demand) int {
-	if d.Step.Gang || b.runs(d.Job) {
+// minTasksToStart returns how many tasks of a demand must not wait beside ample capacity. If nothing of a
+// job runs yet, one single task is enough.
+func (pl *planner) minTasksToStart(d *Demand) int {
+	if d.Step.Gang || pl.isRunning(d.Job) {
 		return len(d.Waiting)
 	}
 	return 1
 }
 
-// runs reports whether something of a job runs, as of the view.
-func (b *board) runs(id job.ID) bool {
-	if b.running == nil {
-		b.running = make(map[job.ID]bool, len(b.view.Holdings))
-		for h := range b.view.Holdings {
-			b.running[b.view.Holdings[h].Job] = true
+// isRunning reports whether any task of a job runs in the view.
+func (pl *planner) isRunning(id job.ID) bool {
+	if pl.runningJobs == nil {
+		pl.runningJobs = make(map[job.ID]bool, len(pl.view.Holdings))
+		for h := range pl.view.Holdings {
+			pl.runningJobs[pl.view.Holdings[h].Job] = true
 		}
 	}
-	return b.running[id]
+	return pl.runningJobs[id]
 }
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -11,16 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlansEqualThoseReckonedAnew compares plans to make room, whose sums are kept as work is chosen to be stopped, with
-// plans that are reckoned from nothing for each choice.
-func TestPlansEqualThoseReckonedAnew(t *testing.T) {
+// TestIncrementalPlansEqualPlansFromScratch compares preemption plans, which are computed with cached sums,
+// with plans that are computed from scratch for each choice. It fails if a cached sum is stale after a
+// choice.
+func TestIncrementalPlansEqualPlansFromScratch(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		v := drawView(r)
-		b := newBoard(v)
+		pl := newPlanner(v)
 		d := &v.Demands[0]
-		b.consider(d)
-		for _, among := range append([][]int{b.everyone}, b.racks...) {
-			got, want := b.planRoom(d, among), planAnew(b, d, among)
+		pl.consider(d)
+		for _, among := range append([][]int{pl.allWorkers}, pl.racks...) {
+			got, want := pl.planPreemption(d, among), planFromScratch(pl, d, among)
 			if (got == nil) != (want == nil) {
 				r.Fatalf("%v, want %v", got, want)
 			}
@@ -31,7 +32,7 @@
 	})
 }
 
-// drawView draws a full site and one urgent demand.
+// drawView draws a full site and one urgent gang.
 func drawView(r *rapid.T) *View {
 	v := &View{Now: time.Unix(1000, 0), Policy: Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: time.Second, WasteCost: 0.0015}}
 	for k := range rapid.IntRange(1, 12).Draw(r, "workers") {
@@ -40,18 +41,18 @@
 		v.Workers = append(v.Workers, w)
 	}
 	for n := range rapid.IntRange(0, 30).Draw(r, "holdings") {
-		h := Holding{Job: job.ID(fmt.Sprint("h", n)), Priority: rapid.IntRange(0, 2).Draw(r, "priority"), Known: rapid.Bool().Draw(r, "known")}
-		h.Each = gpus(rapid.SampledFrom([]int64{1, 2, 4}).Draw(r, "each"))
-		h.Loss, h.Remaining = float64(rapid.IntRange(0, 50).Draw(r, "loss")), time.Duration(rapid.IntRange(0, 4000).Draw(r, "ms"))*time.Millisecond
+		allocation := Holding{Job: job.ID(fmt.Sprint("h", n)), Priority: rapid.IntRange(0, 2).Draw(r, "priority"), Known: rapid.Bool().Draw(r, "known")}
+		allocation.Each = gpus(rapid.SampledFrom([]int64{1, 2, 4}).Draw(r, "each"))
+		allocation.Loss, allocation.Remaining = float64(rapid.IntRange(0, 50).Draw(r, "loss")), time.Duration(rapid.IntRange(0, 4000).Draw(r, "ms"))*time.Millisecond
 		for range rapid.IntRange(1, 5).Draw(r, "tasks") {
 			k := rapid.IntRange(0, len(v.Workers)-1).Draw(r, "on")
-			if v.Workers[k].Free.Fits(h.Each) {
-				v.Workers[k].Free = v.Workers[k].Free.Sub(h.Each)
-				h.Places = append(h.Places, k)
+			if v.Workers[k].Free.Fits(allocation.Each) {
+				v.Workers[k].Free = v.Workers[k].Free.Sub(allocation.Each)
+				allocation.Places = append(allocation.Places, k)
 			}
 		}
-		if len(h.Places) > 0 {
-			v.Holdings = append(v.Holdings, h)
+		if len(allocation.Places) > 0 {
+			v.Holdings = append(v.Holdings, allocation)
 		}
 	}
 	d := Demand{Job: "d", Service: "s", Step: &job.Step{Each: gpus(rapid.SampledFrom([]int64{1, 2, 4, 8}).Draw(r, "asked")), Gang: true}}
@@ -62,76 +63,78 @@
 	return v
 }
 
-// planAnew is planRoom without anything kept between two choices.
-func planAnew(b *board, d *Demand, among []int) *roomPlan {
+// planFromScratch is planPreemption without cached sums.
+func planFromScratch(pl *planner, d *Demand, among []int) *preemptionPlan {
 	var candidates []int
 	for _, k := range among {
-		for _, h := range b.onWorker[k] {
-			if b.suits(k) && b.isCandidate(d, h) && !slices.Contains(candidates, h) {
+		for _, h := range pl.onWorker[k] {
+			if pl.isSuitable(k) && pl.isCandidate(d, h) && !slices.Contains(candidates, h) {
 				candidates = append(candidates, h)
 			}
 		}
 	}
-	if !fitsWithout(b, d, among, candidates) {
+	if !fitsWithout(pl, d, among, candidates) {
 		return nil
 	}
 	var stops []int
-	for !fitsWithout(b, d, among, stops) {
-		at := cheapestAnew(b, d, among, stops, candidates)
-		if at < 0 {
+	for !fitsWithout(pl, d, among, stops) {
+		position := cheapestFromScratch(pl, d, among, stops, candidates)
+		if position < 0 {
 			return nil
 		}
-		stops = append(stops, candidates[at])
-		candidates = slices.Delete(candidates, at, at+1)
+		stops = append(stops, candidates[position])
+		candidates = slices.Delete(candidates, position, position+1)
 	}
 	for _, h := range slices.Clone(stops) {
 		without := slices.DeleteFunc(slices.Clone(stops), func(o int) bool { return o == h })
-		if fitsWithout(b, d, among, without) {
+		if fitsWithout(pl, d, among, without) {
 			stops = without
 		}
 	}
 	if len(stops) == 0 {
 		stops = nil
 	}
-	return &roomPlan{stops: stops, workers: b.layInto(d, among, roomWithout(b, stops))}
+	return &preemptionPlan{stops: stops, workers: pl.assignTasks(d, among, capacityWithout(pl, stops))}
 }
 
-// roomWithout is the room by worker once some holdings have ended.
-func roomWithout(b *board, stops []int) []job.Resources {
-	room := make([]job.Resources, len(b.free))
-	for k := range room {
-		room[k] = b.free[k].Add(b.soon[k])
+// capacityWithout returns the free capacity by worker once the given allocations have ended.
+func capacityWithout(pl *planner, stops []int) []job.Resources {
+	free := make([]job.Resources, len(pl.free))
+	for k := range free {
+		free[k] = pl.free[k].Add(pl.freeSoon[k])
 	}
 	for _, h := range stops {
-		for _, k := range b.view.Holdings[h].Places {
-			room[k] = room[k].Add(b.view.Holdings[h].Each)
+		for _, k := range pl.view.Holdings[h].Places {
+			free[k] = free[k].Add(pl.view.Holdings[h].Each)
 		}
 	}
-	return room
+	return free
 }
 
-func fitsWithout(b *board, d *Demand, among, stops []int) bool {
-	return b.fits(d, among, roomWithout(b, stops)) >= len(d.Waiting)
+// fitsWithout reports whether a demand fits once the given allocations have ended.
+func fitsWithout(pl *planner, d *Demand, among, stops []int) bool {
+	return pl.fittingTasksAmong(d, among, capacityWithout(pl, stops)) >= len(d.Waiting)
 }
 
-// cheapestAnew is the place of the candidate that loses least for each task that it makes room for, -1 for none.
-func cheapestAnew(b *board, d *Demand, among, stops, candidates []int) int {
-	room := roomWithout(b, stops)
+// cheapestFromScratch returns the position of the candidate with the lowest cost for each task that then
+// fits, or -1 if there is none.
+func cheapestFromScratch(pl *planner, d *Demand, among, stops, candidates []int) int {
+	free := capacityWithout(pl, stops)
 	best, bestCost := -1, 0.0
 	for i, h := range candidates {
 		gain := 0.0
-		each := b.view.Holdings[h].Each
-		for _, k := range b.view.Holdings[h].Places {
-			if !slices.Contains(among, k) || !b.suits(k) {
+		each := pl.view.Holdings[h].Each
+		for _, k := range pl.view.Holdings[h].Places {
+			if !slices.Contains(among, k) || !pl.isSuitable(k) {
 				continue
 			}
-			before := b.copies(d, k, room[k])
-			gain += float64(b.copies(d, k, room[k].Add(each)) - before)
+			before := pl.fittingTasks(d, k, free[k])
+			gain += float64(pl.fittingTasks(d, k, free[k].Add(each)) - before)
 			if before < len(d.Waiting) {
-				gain += partOfTask * each.Cores() / max(d.Step.Each.Cores(), 1)
+				gain += partialTaskWeight * each.Cores() / max(d.Step.Each.Cores(), 1)
 			}
 		}
-		if cost := (b.lossOf(&b.view.Holdings[h]) + 1) / gain; gain > 0 && (best < 0 || cost < bestCost) {
+		if cost := (pl.preemptionCost(&pl.view.Holdings[h]) + 1) / gain; gain > 0 && (best < 0 || cost < bestCost) {
 			best, bestCost = i, cost
 		}
 	}
--- a/internal/placement/reclaim.go
+++ b/internal/placement/reclaim.go
@@ -1,68 +1,72 @@
 package placement
 
-// makeRoom stops the work whose loss is least so that an urgent demand fits, and claims the room; it reports whether there is
-// a way. Guaranteed work gets its room whatever that costs, other urgent work only if being in time is worth more.
-func (b *board) makeRoom(i int) bool {
-	d := &b.view.Demands[i]
+// preempt preempts the work that is cheapest to stop so that a demand fits, and reserves the capacity. It
+// reports whether that is possible. Guaranteed work preempts at any cost, other work only if it gains more
+// than the stop costs.
+func (pl *planner) preempt(i int) bool {
+	d := &pl.view.Demands[i]
 	if d.NoPlan {
 		return false
 	}
-	best := b.bestRoom(d)
-	if best == nil || !d.Covered && !b.worthStopping(d, best) {
-		b.outcome.NoPlans = append(b.outcome.NoPlans, i)
+	best := pl.cheapestPlan(d)
+	if best == nil || !d.Covered && !pl.isWorthPreempting(d, best) {
+		pl.outcome.NoPlans = append(pl.outcome.NoPlans, i)
 		return false
 	}
 	for _, h := range best.stops {
-		b.outcome.Stops = append(b.outcome.Stops, h)
-		b.stopped[h] = true
-		for _, k := range b.view.Holdings[h].Places {
-			b.soon[k] = b.soon[k].Add(b.view.Holdings[h].Each)
+		pl.outcome.Stops = append(pl.outcome.Stops, h)
+		pl.stopped[h] = true
+		for _, k := range pl.view.Holdings[h].Places {
+			pl.freeSoon[k] = pl.freeSoon[k].Add(pl.view.Holdings[h].Each)
 		}
 	}
 	for _, worker := range best.workers {
-		k := b.mustSeat(worker)
-		b.free[k] = b.free[k].Sub(d.Step.Each)
+		k := pl.mustWorkerIndex(worker)
+		pl.free[k] = pl.free[k].Sub(d.Step.Each)
 	}
-	b.outcome.Claims = append(b.outcome.Claims, Claim{Demand: i, Workers: best.workers})
+	pl.outcome.Claims = append(pl.outcome.Claims, Reservation{Demand: i, Workers: best.workers})
 	return true
 }
 
-// bestRoom is the cheapest way to make room, in one rack where the demand must be in one and that is possible.
-func (b *board) bestRoom(d *Demand) *roomPlan {
+// cheapestPlan returns the cheapest preemption plan, within one rack if the demand needs one and a rack has
+// enough capacity. It returns nil if there is none.
+func (pl *planner) cheapestPlan(d *Demand) *preemptionPlan {
 	if !d.Step.Gang || !d.Step.RackLocal {
-		return b.planRoom(d, b.everyone)
+		return pl.planPreemption(d, pl.allWorkers)
 	}
-	var best *roomPlan
-	for _, rack := range b.searchedRacks(d) {
-		if p := b.planRoom(d, rack); p != nil && (best == nil || p.loss < best.loss) {
+	var best *preemptionPlan
+	for _, rack := range pl.racksToSearch(d) {
+		if p := pl.planPreemption(d, rack); p != nil && (best == nil || p.cost < best.cost) {
 			best = p
 		}
 	}
-	if best == nil && b.mustSpread(d) {
-		best = b.planRoom(d, b.everyone)
+	if best == nil && pl.mustCrossRacks(d) {
+		best = pl.planPreemption(d, pl.allWorkers)
 	}
 	return best
 }
 
-// worthStopping reports whether a demand without a guarantee gains more by starting once room is made than that costs.
-func (b *board) worthStopping(d *Demand, p *roomPlan) bool {
-	gain, goal := b.stake(d)
-	if b.view.Now.Add(b.view.Policy.StopTime + d.Remaining).After(goal) {
+// isWorthPreempting reports whether a demand without a guarantee gains more by starting after the
+// preemption than the preemption costs.
+func (pl *planner) isWorthPreempting(d *Demand, p *preemptionPlan) bool {
+	gain, goal := pl.valueAtStake(d)
+	if pl.view.Now.Add(pl.view.Policy.StopTime + d.Remaining).After(goal) {
 		return false
 	}
-	return gain > p.loss*b.view.Policy.WasteCost
+	return gain > p.cost*pl.view.Policy.WasteCost
 }
 
-// lossOf is what stopping a holding costs, in core-seconds: the work thrown away, its room while it stops and is idle,
-// and what starting anew puts at risk.
-func (b *board) lossOf(h *Holding) float64 {
-	idle := b.view.Policy.StopTime.Seconds() * h.Each.Cores() * float64(len(h.Places))
-	return h.Loss + idle + h.Risk/max(b.view.Policy.WasteCost, 1e-6)
+// preemptionCost returns the cost of stopping an allocation, in core-seconds: the work thrown away, the
+// capacity that is idle during the stop, and the value at risk from the restart.
+func (pl *planner) preemptionCost(h *Holding) float64 {
+	idle := pl.view.Policy.StopTime.Seconds() * h.Each.Cores() * float64(len(h.Places))
+	return h.Loss + idle + h.Risk/max(pl.view.Policy.WasteCost, 1e-6)
 }
 
-// mayStop reports whether a demand may take a holding's room: that of lower priorities, and guaranteed work whose time runs
-// out that of anything without a guarantee. Urgent work that runs is as urgent, and its room may come free by itself: sparing
-// it until then gained 0.010, 0.012 and 0.003 of mean worth at 48 workers of 32, 64 and 128 cores (60, 40 and 40 days).
-func (b *board) mayStop(d *Demand, h *Holding) bool {
-	return h.Priority > d.Priority || b.mustBegin(d)
+// mayPreempt reports whether a demand may preempt an allocation: any of lower priority, and for guaranteed
+// work close to its start limit any without a guarantee. Until then running urgent work is spared, as it
+// may end by itself. At 48 workers that gains 0.010, 0.012 and 0.003 of mean value with 32, 64 and 128
+// cores each (60, 40 and 40 days).
+func (pl *planner) mayPreempt(d *Demand, h *Holding) bool {
+	return h.Priority > d.Priority || pl.mustPreemptForGuarantee(d)
 }
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -8,254 +8,261 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// roomPlan is a way to make room.
-type roomPlan struct {
-	workers map[int]string
-	stops   []int
-	loss    float64
+// preemptionPlan is a set of allocations to stop and the workers on which the demand then fits.
+type preemptionPlan struct {
+	workers map[int]string // Worker by task index.
+	stops   []int          // Indexes of the allocations to stop.
+	cost    float64        // Cost of all stops, in core-seconds.
 }
 
-// search is the state of one search for work to stop. What a stop would gain is kept for each candidate and reckoned anew
-// only where room came free: with all of it reckoned anew for each stop, a decision over 1,100 workers and 20,000 waiting
-// tasks took 1.3 s, and 0.2 s of the scheduler's box in a burst.
+// search holds the state of one search for allocations to stop. The cost of each candidate is cached and
+// computed again only where capacity has changed: without the cache a decision for 1,100 workers and 20,000
+// waiting tasks took 1.3 s, and delayed the scheduler by 0.2 s during a burst.
 type search struct {
-	demand     *Demand
-	room       []job.Resources // By worker: free once what is stopped has ended.
-	inside     []bool          // By worker: among those that are looked at, and suitable.
-	fit        int             // Tasks that fit into the room.
-	seen       []int           // By holding: the last search that has it as a candidate, 0 once it is to be stopped.
-	searches   int
-	candidates []int
-	cost       []float64 // By holding: what a stop loses for each task that it makes room for, if it is a candidate.
+	demand      *Demand
+	free        []job.Resources // By worker: free capacity once the stopped allocations have ended.
+	included    []bool          // By worker: searched and suitable.
+	fitting     int             // Number of waiting tasks that fit into free.
+	candidateOf []int           // By allocation: number of the last search with it as candidate; 0 once stopped.
+	number      int             // Number of this search, from 1.
+	candidates  []int           // Indexes of the allocations that may still be stopped.
+	costPerTask []float64       // By candidate allocation: cost of stopping it for each task that then fits.
 }
 
-// racksSearched bounds the racks in which room is made for one demand in one decision: those with the most room already, where
-// the least is stopped. A site of 48 workers has 6; at 138 racks a decision over 2,000 waiting tasks takes 27 ms with the
-// bound and 30 ms without (BenchmarkDecide).
-const racksSearched = 24
+// maxRacksSearched limits the racks that are searched for preemption for one demand in one decision. Those
+// with the most free capacity come first, as they need the fewest stops. A site of 48 workers has 6 racks.
+// With 138 racks a decision over 2,000 waiting tasks takes 27 ms with the limit and 30 ms without
+// (BenchmarkDecide).
+const maxRacksSearched = 24
 
-// searchedRacks are the racks in which to make room for a demand.
-func (b *board) searchedRacks(d *Demand) [][]int {
-	if len(b.racks) <= racksSearched {
-		return b.racks
+// racksToSearch returns the racks in which to search for preemption for a demand.
+func (pl *planner) racksToSearch(d *Demand) [][]int {
+	if len(pl.racks) <= maxRacksSearched {
+		return pl.racks
 	}
-	type fitting struct {
+	type rackFit struct {
 		rack []int
 		fit  int
 	}
-	var list []fitting
-	for _, rack := range b.racks {
-		if !b.couldHold(d, rack) {
+	var list []rackFit
+	for _, rack := range pl.racks {
+		if !pl.fitsWhenEmpty(d, rack) {
 			continue
 		}
 		fit := 0
 		for _, k := range rack {
-			fit += b.copies(d, k, b.free[k].Add(b.soon[k]))
+			fit += pl.fittingTasks(d, k, pl.free[k].Add(pl.freeSoon[k]))
 		}
-		list = append(list, fitting{rack, fit})
+		list = append(list, rackFit{rack, fit})
 	}
-	slices.SortStableFunc(list, func(x, y fitting) int { return cmp.Compare(y.fit, x.fit) })
-	racks := make([][]int, 0, racksSearched)
-	for _, f := range list[:min(len(list), racksSearched)] {
+	slices.SortStableFunc(list, func(x, y rackFit) int { return cmp.Compare(y.fit, x.fit) })
+	racks := make([][]int, 0, maxRacksSearched)
+	for _, f := range list[:min(len(list), maxRacksSearched)] {
 		racks = append(racks, f.rack)
 	}
 	return racks
 }
 
-// planRoom finds a cheap set of holdings to stop so that all waiting tasks of a demand fit onto some of the workers:
-// holding by holding, the one that costs least for the tasks it makes room for. It returns nil where even stopping
-// everything that may be stopped does not make enough room.
-func (b *board) planRoom(d *Demand, among []int) *roomPlan {
-	b.beginSearch(d, among)
-	if !b.couldFit(d, among) {
+// planPreemption returns a cheap set of allocations to stop so that all waiting tasks of a demand fit onto
+// the given workers. It adds the allocation with the lowest cost for each task that then fits until all
+// fit. It returns nil if that is not enough even with all candidates stopped.
+func (pl *planner) planPreemption(d *Demand, among []int) *preemptionPlan {
+	pl.beginSearch(d, among)
+	if !pl.fitsWithAllStopped(d, among) {
 		return nil
 	}
-	p := &roomPlan{}
-	for b.search.fit < len(d.Waiting) {
-		at := b.cheapest()
-		if at < 0 {
+	p := &preemptionPlan{}
+	for pl.search.fitting < len(d.Waiting) {
+		position := pl.cheapest()
+		if position < 0 {
 			return nil
 		}
-		h := b.search.candidates[at]
-		b.search.candidates = slices.Delete(b.search.candidates, at, at+1)
-		b.search.seen[h] = 0
-		b.takeRoom(h)
+		h := pl.search.candidates[position]
+		pl.search.candidates = slices.Delete(pl.search.candidates, position, position+1)
+		pl.search.candidateOf[h] = 0
+		pl.addFreedCapacity(h)
 		p.stops = append(p.stops, h)
-		p.loss += b.lossOf(&b.view.Holdings[h])
+		p.cost += pl.preemptionCost(&pl.view.Holdings[h])
 	}
-	p.stops = b.needed(d, p)
-	p.workers = b.layInto(d, among, b.search.room)
+	p.stops = pl.removeUnneededStops(d, p)
+	p.workers = pl.assignTasks(d, among, pl.search.free)
 	return p
 }
 
-// beginSearch sets out the room that there is and the holdings that may be stopped.
-func (b *board) beginSearch(d *Demand, among []int) {
-	s := &b.search
-	if s.room == nil {
-		s.room, s.inside = make([]job.Resources, len(b.free)), make([]bool, len(b.free))
-		s.seen, s.cost = make([]int, len(b.view.Holdings)), make([]float64, len(b.view.Holdings))
+// beginSearch resets the search to the present free capacity and collects the candidates to stop.
+func (pl *planner) beginSearch(d *Demand, among []int) {
+	s := &pl.search
+	if s.free == nil {
+		s.free, s.included = make([]job.Resources, len(pl.free)), make([]bool, len(pl.free))
+		s.candidateOf, s.costPerTask = make([]int, len(pl.view.Holdings)), make([]float64, len(pl.view.Holdings))
 	}
-	clear(s.inside)
-	s.demand, s.fit, s.candidates = d, 0, s.candidates[:0]
-	s.searches++
+	clear(s.included)
+	s.demand, s.fitting, s.candidates = d, 0, s.candidates[:0]
+	s.number++
 	for _, k := range among {
-		s.room[k] = b.free[k].Add(b.soon[k])
-		if !b.suits(k) {
+		s.free[k] = pl.free[k].Add(pl.freeSoon[k])
+		if !pl.isSuitable(k) {
 			continue
 		}
-		s.inside[k] = true
-		s.fit += b.copies(d, k, s.room[k])
-		for _, h := range b.onWorker[k] {
-			if s.seen[h] != s.searches && b.isCandidate(d, h) {
-				s.seen[h] = s.searches
+		s.included[k] = true
+		s.fitting += pl.fittingTasks(d, k, s.free[k])
+		for _, h := range pl.onWorker[k] {
+			if s.candidateOf[h] != s.number && pl.isCandidate(d, h) {
+				s.candidateOf[h] = s.number
 				s.candidates = append(s.candidates, h)
 			}
 		}
 	}
 	for _, h := range s.candidates {
-		s.cost[h] = b.costOf(h)
+		s.costPerTask[h] = pl.costPerFittingTask(h)
 	}
 }
 
-// isCandidate reports whether a holding may be stopped for a demand.
-func (b *board) isCandidate(d *Demand, h int) bool {
-	holding := &b.view.Holdings[h]
-	return !b.stopped[h] && !holding.Stopping && !holding.Covered && !b.endsSoon(h) && b.mayStop(d, holding)
+// isCandidate reports whether an allocation may be stopped for a demand.
+func (pl *planner) isCandidate(d *Demand, h int) bool {
+	allocation := &pl.view.Holdings[h]
+	return !pl.stopped[h] && !allocation.Stopping && !allocation.Covered && !pl.endsSoon(h) && pl.mayPreempt(d, allocation)
 }
 
-// couldFit reports whether a demand would fit if all candidates were stopped. Asking first spares the search in most racks:
-// a decision over 350 workers and 5,000 waiting tasks took 186 ms without it, 32 ms with it.
-func (b *board) couldFit(d *Demand, among []int) bool {
-	s := &b.search
-	fit := 0
+// fitsWithAllStopped reports whether a demand would fit if all candidates were stopped. This check skips
+// the search in most racks: a decision for 350 workers and 5,000 waiting tasks took 186 ms without it and
+// 32 ms with it.
+func (pl *planner) fitsWithAllStopped(d *Demand, among []int) bool {
+	s := &pl.search
+	fitting := 0
 	for _, k := range among {
-		if !s.inside[k] {
+		if !s.included[k] {
 			continue
 		}
-		room := s.room[k]
-		for _, h := range b.onWorker[k] {
-			if s.seen[h] == s.searches {
-				room = room.Add(b.view.Holdings[h].Each)
+		free := s.free[k]
+		for _, h := range pl.onWorker[k] {
+			if s.candidateOf[h] == s.number {
+				free = free.Add(pl.view.Holdings[h].Each)
 			}
 		}
-		fit += b.copies(d, k, room)
+		fitting += pl.fittingTasks(d, k, free)
 	}
-	return fit >= len(d.Waiting)
+	return fitting >= len(d.Waiting)
 }
 
-// freeingSoon is the room that comes free on a worker within the time that a stop takes, before this decision.
-func (b *board) freeingSoon(k int) job.Resources {
-	room := b.view.Workers[k].Freeing
-	for _, h := range b.onWorker[k] {
-		if b.endsSoon(h) {
-			room = room.Add(b.view.Holdings[h].Each)
+// capacityFreeSoon returns the capacity that comes free on a worker within the time that a stop takes,
+// without the stops of this decision.
+func (pl *planner) capacityFreeSoon(k int) job.Resources {
+	free := pl.view.Workers[k].Freeing
+	for _, h := range pl.onWorker[k] {
+		if pl.endsSoon(h) {
+			free = free.Add(pl.view.Holdings[h].Each)
 		}
 	}
-	return room
+	return free
 }
 
-// endsSoon reports whether a holding ends by itself within the time that a stop takes.
-func (b *board) endsSoon(h int) bool {
-	holding := &b.view.Holdings[h]
-	return holding.Known && !holding.Stopping && !b.stopped[h] && holding.Remaining <= b.view.Policy.StopTime
+// endsSoon reports whether an allocation ends by itself within the time that a stop takes.
+func (pl *planner) endsSoon(h int) bool {
+	allocation := &pl.view.Holdings[h]
+	return allocation.Known && !allocation.Stopping && !pl.stopped[h] && allocation.Remaining <= pl.view.Policy.StopTime
 }
 
-// takeRoom adds what stopping a holding frees, and reckons the candidates beside it anew.
-func (b *board) takeRoom(h int) {
-	b.changeRoom(h, job.Resources.Add)
-	s := &b.search
-	for _, k := range b.view.Holdings[h].Places {
-		if !s.inside[k] {
+// addFreedCapacity adds the capacity that stopping an allocation frees, and updates the cost of the
+// candidates on the same workers.
+func (pl *planner) addFreedCapacity(h int) {
+	pl.updateCapacity(h, job.Resources.Add)
+	s := &pl.search
+	for _, k := range pl.view.Holdings[h].Places {
+		if !s.included[k] {
 			continue
 		}
-		for _, beside := range b.onWorker[k] {
-			if s.seen[beside] == s.searches {
-				s.cost[beside] = b.costOf(beside)
+		for _, other := range pl.onWorker[k] {
+			if s.candidateOf[other] == s.number {
+				s.costPerTask[other] = pl.costPerFittingTask(other)
 			}
 		}
 	}
 }
 
-// changeRoom adds or takes away what a holding's tasks use.
-func (b *board) changeRoom(h int, change func(room, each job.Resources) job.Resources) {
-	s := &b.search
-	for _, k := range b.view.Holdings[h].Places {
-		if s.inside[k] {
-			s.fit -= b.copies(s.demand, k, s.room[k])
-			s.room[k] = change(s.room[k], b.view.Holdings[h].Each)
-			s.fit += b.copies(s.demand, k, s.room[k])
+// updateCapacity adds or subtracts the resources of an allocation's tasks, as given by change.
+func (pl *planner) updateCapacity(h int, change func(free, each job.Resources) job.Resources) {
+	s := &pl.search
+	for _, k := range pl.view.Holdings[h].Places {
+		if s.included[k] {
+			s.fitting -= pl.fittingTasks(s.demand, k, s.free[k])
+			s.free[k] = change(s.free[k], pl.view.Holdings[h].Each)
+			s.fitting += pl.fittingTasks(s.demand, k, s.free[k])
 		}
 	}
 }
 
-// layInto lays all waiting tasks into the room, which has enough.
-func (b *board) layInto(d *Demand, among []int, room []job.Resources) map[int]string {
+// assignTasks assigns all waiting tasks to workers; the given capacity is enough for them.
+func (pl *planner) assignTasks(d *Demand, among []int, free []job.Resources) map[int]string {
 	workers := make(map[int]string, len(d.Waiting))
 	for _, k := range among {
-		for range b.copies(d, k, room[k]) {
+		for range pl.fittingTasks(d, k, free[k]) {
 			if len(workers) == len(d.Waiting) {
 				return workers
 			}
-			workers[d.Waiting[len(workers)]] = b.view.Workers[k].ID
+			workers[d.Waiting[len(workers)]] = pl.view.Workers[k].ID
 		}
 	}
 	return workers
 }
 
-// cheapest returns the place in the candidates of the one with the least cost, -1 for none.
-func (b *board) cheapest() int {
+// cheapest returns the position of the candidate with the lowest cost, or -1 if there is none.
+func (pl *planner) cheapest() int {
 	best, bestCost := -1, math.Inf(1)
-	for i, h := range b.search.candidates {
-		if cost := b.search.cost[h]; cost < bestCost {
+	for i, h := range pl.search.candidates {
+		if cost := pl.search.costPerTask[h]; cost < bestCost {
 			best, bestCost = i, cost
 		}
 	}
 	return best
 }
 
-// costOf is what a stop of a candidate loses for each task that it makes room for, without end where it makes none.
-func (b *board) costOf(h int) float64 {
-	gain := b.gain(h)
+// costPerFittingTask returns the cost of stopping a candidate for each task that then fits, or infinity if
+// none does.
+func (pl *planner) costPerFittingTask(h int) float64 {
+	gain := pl.fittingTasksGained(h)
 	if gain <= 0 {
 		return math.Inf(1)
 	}
-	return (b.lossOf(&b.view.Holdings[h]) + 1) / gain
+	return (pl.preemptionCost(&pl.view.Holdings[h]) + 1) / gain
 }
 
-// gain is how many more tasks of the demand fit once the holding is gone; a part of a task counts a little, so that
-// several holdings that only together make room for one are found too.
-func (b *board) gain(h int) float64 {
-	s := &b.search
+// fittingTasksGained returns how many more tasks of the demand fit once an allocation has ended. Capacity
+// for a part of a task counts as a fraction, so that several allocations are found that only together free
+// enough for one task.
+func (pl *planner) fittingTasksGained(h int) float64 {
+	s := &pl.search
 	d := s.demand
 	sum := 0.0
 	need := max(d.Step.Each.Cores(), 1)
-	each := b.view.Holdings[h].Each
-	for _, k := range b.view.Holdings[h].Places {
-		if !s.inside[k] {
+	each := pl.view.Holdings[h].Each
+	for _, k := range pl.view.Holdings[h].Places {
+		if !s.included[k] {
 			continue
 		}
-		before := b.copies(d, k, s.room[k])
-		sum += float64(b.copies(d, k, s.room[k].Add(each)) - before)
+		before := pl.fittingTasks(d, k, s.free[k])
+		sum += float64(pl.fittingTasks(d, k, s.free[k].Add(each)) - before)
 		if before < len(d.Waiting) {
-			sum += partOfTask * each.Cores() / need
+			sum += partialTaskWeight * each.Cores() / need
 		}
 	}
 	return sum
 }
 
-// partOfTask is what room for a part of a task counts for, against 1 for a whole one.
-const partOfTask = 0.1
+// partialTaskWeight is the weight of capacity for a part of a task, where a whole task counts as 1.
+const partialTaskWeight = 0.1
 
-// needed drops the stops that the demand can do without, each one with the room that it frees.
-func (b *board) needed(d *Demand, p *roomPlan) []int {
+// removeUnneededStops returns the stops of a plan without those that turn out to be unnecessary, and takes
+// their cost and capacity off again.
+func (pl *planner) removeUnneededStops(d *Demand, p *preemptionPlan) []int {
 	var kept []int
 	for _, h := range p.stops {
-		b.changeRoom(h, job.Resources.Sub)
-		if b.search.fit >= len(d.Waiting) {
-			p.loss -= b.lossOf(&b.view.Holdings[h])
+		pl.updateCapacity(h, job.Resources.Sub)
+		if pl.search.fitting >= len(d.Waiting) {
+			p.cost -= pl.preemptionCost(&pl.view.Holdings[h])
 			continue
 		}
-		b.changeRoom(h, job.Resources.Add)
+		pl.updateCapacity(h, job.Resources.Add)
 		kept = append(kept, h)
 	}
 	return kept
--- a/internal/placement/script_test.go
+++ b/internal/placement/script_test.go
@@ -16,55 +16,56 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// TestDecisions plays the cases of testdata. A case is a list of lines:
+// TestDecisions runs the cases of testdata. A case is a list of lines:
 //
 //	worker NAME rack RACK gpu FREE [freeing N] [doubt X] [slow X] [label L] [unusable] [unproven]
 //	holding NAME priority N gpu EACH on WORKER... [loss N] [left SECONDS [known]] [covered] [stopping]
-//	demand NAME priority N tasks N gpu EACH [gang] [local] [lasting] [covered] [waited D] [goal D] [takes D] [value X] [near RACK] [most N] [avoid W] [last] [lasts N] [claim W...]
-//	start NAME WORKER...    exactly these starts, one worker a task in any order
-//	wait NAME               no start
-//	stop NAME               exactly these holdings are stopped (none without a line)
-//	claim NAME WORKER...
-//	drop NAME               exactly these claims are given up (none without a line)
+//	demand NAME priority N tasks N gpu EACH [gang] [local] [lasting] [covered] [waited D] [goal D] [takes D]
+//	       [value X] [work X] [near RACK] [label L] [most N] [avoid W] [last] [lasts N] [draining] [claim W...]
+//	start NAME WORKER...    exactly these tasks start, one worker for each, in any order
+//	wait NAME               nothing of this demand starts
+//	stop NAME               exactly the allocations with such a line are stopped
+//	claim NAME WORKER...    this capacity is reserved
+//	drop NAME               exactly the reservations with such a line are dropped
 func TestDecisions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	quicktest.Assert(t, err, quicktest.IsNil)
 	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) { playCase(t, file) })
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) { runCase(t, file) })
 	}
 }
 
-// decisionCase is a case as it was read.
+// decisionCase is a case and its expected outcome.
 type decisionCase struct {
-	view     View
-	demands  []string // Names by index.
-	holdings []string
-	starts   map[string][]string
-	claims   map[string][]string
-	stops    []string
-	waits    []string
-	drops    []string
+	view         View
+	demands      []string // Names by index.
+	allocations  []string // Names by index.
+	starts       map[string][]string
+	reservations map[string][]string
+	stops        []string
+	waits        []string
+	drops        []string
 }
 
-func playCase(t *testing.T, file string) {
+func runCase(t *testing.T, file string) {
 	f, err := os.Open(file)
 	quicktest.Assert(t, err, quicktest.IsNil)
 	defer f.Close()
-	c := &decisionCase{starts: map[string][]string{}, claims: map[string][]string{}}
-	c.view.Now = time.Unix(1000, 0)
-	c.view.Policy = Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: 500 * time.Millisecond, WasteCost: 0.0015}
+	testCase := &decisionCase{starts: map[string][]string{}, reservations: map[string][]string{}}
+	testCase.view.Now = time.Unix(1000, 0)
+	testCase.view.Policy = Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: 500 * time.Millisecond, WasteCost: 0.0015}
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
 		words := strings.Fields(lines.Text())
 		if len(words) < 2 || words[0] == "#" {
 			continue
 		}
-		if err := c.read(words); err != nil {
+		if err := testCase.read(words); err != nil {
 			t.Fatalf("%s:%d: %v", file, n, err)
 		}
 	}
-	out := Decide(&c.view)
-	c.check(t, &out)
+	out := Decide(&testCase.view)
+	testCase.check(t, &out)
 }
 
 func (c *decisionCase) check(t *testing.T, out *Outcome) {
@@ -77,7 +78,7 @@
 	}
 	var stops []string
 	for _, h := range out.Stops {
-		stops = append(stops, c.holdings[h])
+		stops = append(stops, c.allocations[h])
 	}
 	var drops []string
 	for _, d := range out.Dropped {
@@ -88,7 +89,7 @@
 	slices.Sort(c.stops)
 	quicktest.Check(t, starts, quicktest.DeepEquals, c.starts)
 	quicktest.Check(t, stops, quicktest.DeepEquals, c.stops)
-	for name, want := range c.claims {
+	for name, want := range c.reservations {
 		quicktest.Check(t, claims[name], quicktest.DeepEquals, want)
 	}
 	for _, name := range c.waits {
@@ -111,7 +112,7 @@
 	case "worker":
 		return c.readWorker(name, rest)
 	case "holding":
-		return c.readHolding(name, rest)
+		return c.readAllocation(name, rest)
 	case "demand":
 		return c.readDemand(name, rest)
 	case "start":
@@ -119,7 +120,7 @@
 		c.starts[name] = rest
 	case "claim":
 		slices.Sort(rest)
-		c.claims[name] = rest
+		c.reservations[name] = rest
 	case "stop":
 		c.stops = append(c.stops, name)
 	case "wait":
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// gpus is room for so many accelerators, with processors and memory to match.
+// gpus returns the resources of n accelerators, with matching processors and memory.
 func gpus(n int64) job.Resources {
 	return job.Resources{MilliCPU: 8000 * n, MemoryMB: 1000 * n, Accelerators: n}
 }
@@ -182,12 +183,12 @@
 	return nil
 }
 
-// worker is the index of a worker that was read before.
+// worker returns the index of a worker that was read before.
 func (c *decisionCase) worker(name string) int {
 	return slices.IndexFunc(c.view.Workers, func(w Worker) bool { return w.ID == name })
 }
 
-func (c *decisionCase) readHolding(name string, words []string) error {
+func (c *decisionCase) readAllocation(name string, words []string) error {
 	h := Holding{Job: job.ID(name)}
 	for i := 0; i < len(words); i++ {
 		switch words[i] {
@@ -226,7 +227,7 @@
 		i++
 	}
 	c.view.Holdings = append(c.view.Holdings, h)
-	c.holdings = append(c.holdings, name)
+	c.allocations = append(c.allocations, name)
 	return nil
 }
 
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -1,5 +1,5 @@
-// Package placement decides which tasks start where and what is stopped to make room. It is a pure function of a view:
-// no I/O, no clock, the same view gives the same decisions.
+// Package placement decides which tasks start where and which work is preempted. A decision is a pure
+// function of a view: it does no I/O and reads no clock, and the same view gives the same decision.
 package placement
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// View is everything that a decision is made from.
+// View is the complete input of a decision.
 type View struct {
 	Now      time.Time
 	Workers  []Worker
@@ -17,33 +17,36 @@
 	Policy   Policy
 }
 
-// Policy holds the figures of a site that bear on decisions.
+// Policy holds the site's settings that affect decisions.
 type Policy struct {
-	FarFactor float64       // How much longer a task takes far from its data, or a gang spread over racks.
-	Reclaim   time.Duration // Time within which guaranteed work must have begun.
+	// Factor on the run time of a task that is remote from its data, or of a gang spread across racks.
+	FarFactor float64
+	Reclaim   time.Duration // Time within which guaranteed work must start.
 	StopTime  time.Duration // Longest time that a stop takes.
-	WasteCost float64       // What a core-second of work thrown away costs, in the units of a demand's value.
+	WasteCost float64       // Cost of a core-second of lost work, in the unit of Demand.Value.
 }
 
-// Worker is a worker as the scheduler knows it.
+// Worker is the state of a worker as last observed by the scheduler.
 type Worker struct {
 	ID       string
 	Service  string
 	Rack     string
 	Labels   []string
 	Capacity job.Resources
-	Free     job.Resources // Not taken by runs whose end is not known.
-	Freeing  job.Resources // Taken by runs that are being stopped.
-	Usable   bool          // It takes new runs.
-	Closed   bool          // Nothing new may start in its hall.
-	Unproven bool          // Workers are about that fail everything, and nothing has worked there since.
-	Suspect  job.ID        // A job that may crash its workers and has begun here, so that it is not known yet; empty for none.
-	Begun    job.ID        // A job that has just begun here, whether it may crash the worker or not; empty for none.
-	Doubt    float64       // 0 for a worker without recent failures; higher is worse.
-	Slowness float64       // How many times longer than elsewhere work takes there; 0 or 1 for a sound one.
+	Free     job.Resources // Capacity not used by any run whose end has not been reported.
+	Freeing  job.Resources // Capacity used by runs that are being stopped.
+	Usable   bool          // Accepts new runs.
+	Closed   bool          // No work may start in its hall.
+	Unproven bool          // Some workers fail every task at present, and no task has succeeded on this one since.
+	// Job suspected of crashing workers that has just started here, so that the outcome is unknown; empty
+	// for none.
+	Suspect  job.ID
+	Begun    job.ID  // Job that has just started here, suspected or not; empty for none.
+	Doubt    float64 // Failure score: 0 without recent failures; higher is worse.
+	Slowness float64 // Factor on the run time compared with other workers; 0 or 1 for a sound one.
 }
 
-// Demand is a group of tasks that could start now.
+// Demand is a group of tasks that are ready to start.
 type Demand struct {
 	Job       job.ID
 	Group     job.Group
@@ -51,60 +54,65 @@
 	Service   string
 	Priority  int
 	Step      *job.Step
-	Waiting   []int          // Indexes of the tasks.
-	Placed    map[string]int // Tasks of this group that run on a worker already.
-	Avoid     map[string]bool
-	Since     time.Time     // Since when it could have started.
-	Remaining time.Duration // Expected time from its start to the end of the job.
-	Goal      time.Time     // Ended by then, the job earns all it can.
-	LastGoal  time.Time     // Ended by then, it still earns a part.
-	Value     float64       // What the job earns at most.
-	LateValue float64
-	Work      float64        // Expected core-seconds of what is left of the job.
-	Covered   bool           // Within its workspace's guarantee, and of priority 0.
-	Claim     map[int]string // Room that is being freed for it: task index to worker.
-	Draining  bool           // Nothing is stopped for the claim: its room drains.
-	// LastAttempts are the waiting tasks that have failed before and fail for good the next time; of a gang all or none.
+	Waiting   []int           // Indexes of the waiting tasks.
+	Placed    map[string]int  // Number of tasks of this group that already run, by worker.
+	Avoid     map[string]bool // Workers on which it failed or could not start; others are tried first.
+	Since     time.Time       // Time since which it is ready to start.
+	Remaining time.Duration   // Expected time from its start to the end of the job.
+	Goal      time.Time       // Ending by this time earns the full value.
+	LastGoal  time.Time       // Ending by this time earns LateValue.
+	Value     float64         // Value that the job earns at most.
+	LateValue float64         // Value that the job earns between Goal and LastGoal.
+	Work      float64         // Expected core-seconds left in the job.
+	Covered   bool            // Within the guarantee of its workspace, and of priority 0.
+	Claim     map[int]string  // Capacity reserved for it: worker by task index.
+	Draining  bool            // Its reservation was made without preemption.
+	// LastAttempts are the waiting tasks that have failed before and are not retried after the next
+	// failure. Of a gang it contains all tasks or none.
 	LastAttempts map[int]bool
-	Apart        map[job.ID]bool // Jobs that were lost together with it: they begin elsewhere where they can.
-	Suspect      bool            // Workers were lost as soon as its tasks had begun there: it may be what crashed them.
-	Alone        bool            // So much is counted against its tasks that they are to run where nothing else does, so that the next loss tells.
-	NoPlan       bool            // A way to make room was looked for lately and not found.
+	// Anti-affinity: jobs that were lost together with it. It starts on other workers than they do where
+	// it can.
+	Apart   map[job.ID]bool
+	Suspect bool // Workers were lost as soon as its tasks had started there, so it may crash them.
+	// So many losses count against its tasks that they must run where nothing else runs, so that the next loss
+	// shows whether they crash workers.
+	Alone  bool
+	NoPlan bool // A recent search for preemption found no plan.
 }
 
-// Holding is what runs and can be stopped as a whole: a gang, or one task.
+// Holding is running work that can only be stopped as a whole: a gang or a single task.
 type Holding struct {
 	Job       job.ID
 	Group     job.Group
 	Priority  int
-	Covered   bool
-	Stopping  bool
-	Each      job.Resources
-	Places    []int         // Workers by their index in the view, once for each task.
-	Loss      float64       // Core-seconds that a stop throws away.
-	Risk      float64       // Value that is lost if it starts anew.
+	Covered   bool          // Within the guarantee of its workspace.
+	Stopping  bool          // Already being stopped.
+	Each      job.Resources // Resources of each task.
+	Places    []int         // Worker indexes in the view, one entry for each task.
+	Loss      float64       // Core-seconds of work that a stop throws away.
+	Risk      float64       // Value at risk from a restart.
 	Remaining time.Duration // Expected time to its end.
-	Known     bool          // Remaining follows from the progress that its workers tell, not from declared run times.
+	Known     bool          // Remaining follows from progress that workers reported, not from declared run times.
 }
 
-// Start orders tasks of a demand.
+// Start says on which workers tasks of a demand start.
 type Start struct {
-	Demand  int
-	Workers map[int]string // Task index to worker.
+	Demand  int            // Index of the demand.
+	Workers map[int]string // Worker by task index.
 }
 
-// Claim reserves room that is being freed for a demand.
-type Claim struct {
-	Demand   int
-	Workers  map[int]string
-	Draining bool // Nothing is stopped for it.
+// Reservation reserves capacity that is coming free for a demand.
+type Reservation struct {
+	Demand   int            // Index of the demand.
+	Workers  map[int]string // Worker by task index.
+	Draining bool           // Nothing is preempted for it.
 }
 
-// Outcome is what was decided.
+// Outcome is the result of a decision.
 type Outcome struct {
 	Starts  []Start
-	Stops   []int // Indexes of holdings.
-	Claims  []Claim
-	NoPlans []int // Demands for which no way to make room was found.
-	Dropped []int // Demands whose draining room was taken by a demand before them.
+	Stops   []int // Indexes of the allocations to stop.
+	Claims  []Reservation
+	NoPlans []int // Indexes of the demands for which no preemption plan was found.
+	Dropped []int // Indexes of the demands whose reservations were used by other demands.
 }
