--- a/internal/loss/background.go
+++ b/internal/loss/background.go
@@ -6,89 +6,96 @@
 )
 
 const (
-	// backgroundKept is for about how long losses are remembered: a bad day is forgotten the day after.
-	backgroundKept = 24 * time.Hour
-	// backgroundPrior is the worker time in which one worker is expected to be lost where nothing is known yet. A shorter one excuses tasks that crash their
-	// workers after minutes on a site of two workers, a longer one blames sound work for longer where workers crash all the time.
-	backgroundPrior = 15 * time.Minute
-	// watchEvery is how often workers are counted: looking through all runs for it is no work for each decision.
-	watchEvery = time.Second
-	// watchedMost bounds the time between two counts of workers: no more is known of those between.
-	watchedMost = 10 * time.Second
+	// backgroundDecayTime is the time constant with which past losses are forgotten, so that a bad day
+	// counts little the day after.
+	backgroundDecayTime = 24 * time.Hour
+	// priorTimePerLoss is the worker time in which one loss is expected while no losses are known. A
+	// shorter time excuses tasks that crash their workers after minutes on a site of two workers. A longer
+	// time takes longer to stop blaming sound tasks where workers crash all the time.
+	priorTimePerLoss = 15 * time.Minute
+	// watchInterval is the interval at which workers are counted. Counting reads all runs, which is too
+	// much work for each decision.
+	watchInterval = time.Second
+	// maxWatchedInterval limits the time that counts between two counts of workers, since the number of
+	// workers in a longer gap is unknown.
+	maxWatchedInterval = 10 * time.Second
 )
 
-// Background is how many workers were lost that ran no suspect task, of how many that were watched, so that it tells how likely any worker is lost without
-// a task's doing. The zero value knows nothing.
+// Background estimates how likely a worker is lost for a reason other than its tasks. It records losses and
+// observed worker time of workers that run no suspect task. The zero value is ready to use.
 type Background struct {
-	Lost      float64 // Workers lost alone.
-	Watched   float64 // Seconds, over all workers.
-	watchedAt time.Time
+	Lost      float64   // Number of workers that were lost alone.
+	Watched   float64   // Observed worker time, in seconds over all workers.
+	lastWatch time.Time // Time of the last call of Watch.
 }
 
-// age forgets what is long ago.
-func (b *Background) age(by time.Duration) {
-	kept := math.Exp(-by.Seconds() / backgroundKept.Seconds())
-	b.Lost *= kept
-	b.Watched *= kept
+// decay reduces the weight of past losses by the time that has passed.
+func (b *Background) decay(elapsed time.Duration) {
+	factor := math.Exp(-elapsed.Seconds() / backgroundDecayTime.Seconds())
+	b.Lost *= factor
+	b.Watched *= factor
 }
 
-// Due reports whether workers are to be counted again.
-func (b *Background) Due(now time.Time) bool { return now.Sub(b.watchedAt) >= watchEvery }
+// Due reports whether Watch must be called again.
+func (b *Background) Due(now time.Time) bool { return now.Sub(b.lastWatch) >= watchInterval }
 
-// Watch takes in how many workers live that run no suspect task. It is to be called when Due says so.
+// Watch records how many live workers run no suspect task. Call it when Due reports true.
 func (b *Background) Watch(workers int, now time.Time) {
-	if !b.watchedAt.IsZero() {
-		by := now.Sub(b.watchedAt)
-		b.age(by)
-		b.Watched += float64(workers) * min(by, watchedMost).Seconds()
+	if !b.lastWatch.IsZero() {
+		elapsed := now.Sub(b.lastWatch)
+		b.decay(elapsed)
+		b.Watched += float64(workers) * min(elapsed, maxWatchedInterval).Seconds()
 	}
-	b.watchedAt = now
+	b.lastWatch = now
 }
 
-// Expected is how many workers are lost, by their own doing, in a time for which one was watched. Where the task in question has lost a worker before, that may be one
-// of those that were counted.
+// Expected returns how many workers are expected to be lost for other reasons than their tasks, out of one
+// worker observed for the given time. If the task in question has lost a worker before, that loss may be
+// among the recorded ones, so one loss is left out.
 func (b *Background) Expected(watched time.Duration, lostBefore bool) float64 {
 	lost := b.Lost
 	if lostBefore {
 		lost = max(0, lost-1)
 	}
-	return watched.Seconds() * (lost + 1) / (b.Watched + backgroundPrior.Seconds())
+	return watched.Seconds() * (lost + 1) / (b.Watched + priorTimePerLoss.Seconds())
 }
 
-// chance is how many workers are lost by themselves in the time of a run that was lost with a worker; none in that of a young one.
-func (e *event) chance(r *Run) float64 {
+// expectedLosses returns how many workers are expected to be lost for other reasons than tasks during a run
+// that was lost with its worker; 0 if the run was young.
+func (e *lossEvent) expectedLosses(r *Run) float64 {
 	if r.Seen <= CountedWithin {
 		return 0
 	}
-	return e.before.Expected(r.Seen, r.Before.All > 0)
+	return e.backgroundBefore.Expected(r.Seen, r.Before.All > 0)
 }
 
-// Due reports whether workers are to be counted again.
-func (j *Judge) Due(now time.Time) bool { return j.background.Due(now) }
+// Due reports whether Watch must be called again.
+func (d *Judge) Due(now time.Time) bool { return d.background.Due(now) }
 
-// Watch takes in how many workers live that run no suspect task. It is to be called when Due says so.
-func (j *Judge) Watch(workers int, now time.Time) { j.background.Watch(workers, now) }
+// Watch records how many live workers run no suspect task. Call it when Due reports true.
+func (d *Judge) Watch(workers int, now time.Time) { d.background.Watch(workers, now) }
 
-// Background is how often workers are lost without a task's doing, as far as is known.
-func (j *Judge) Background() Background {
-	b := j.background
-	b.Lost += float64(j.lostAlone)
+// Background returns the estimate of losses for other reasons than tasks, including the losses that are
+// still kept.
+func (d *Judge) Background() Background {
+	b := d.background
+	b.Lost += float64(d.keptBackgroundLosses)
 	return b
 }
 
-// isBackground reports whether a worker was lost for no suspect task's doing, alone.
-func (e *event) isBackground() bool {
-	return !e.refuted && !e.suspect && e.others < othersLost && !e.hall.lostAsOne() && !e.rack.lostAsOne()
+// isBackgroundLoss reports whether a worker was lost alone and ran no suspect task.
+func (e *lossEvent) isBackgroundLoss() bool {
+	return !e.stillRuns && !e.hasSuspect && e.othersLost < minOthersLost && !e.hall.isGroupLost() && !e.rack.isGroupLost()
 }
 
-// settle notes whether a loss is one of the background.
-func (j *Judge) settle(e *event) {
-	is := e.isBackground()
+// updateBackground updates the number of background losses after a loss has changed.
+func (d *Judge) updateBackground(e *lossEvent) {
+	isNow := e.isBackgroundLoss()
 	switch {
-	case is && !e.background:
-		j.lostAlone++
-	case !is && e.background:
-		j.lostAlone--
+	case isNow && !e.background:
+		d.keptBackgroundLosses++
+	case !isNow && e.background:
+		d.keptBackgroundLosses--
 	}
-	e.background = is
+	e.background = isNow
 }
--- a/internal/loss/blame.go
+++ b/internal/loss/blame.go
@@ -2,61 +2,65 @@
 
 import "github.com/pulleyring/pulleyring/internal/job"
 
-// accused marks the runs on a lost worker whose tasks may be to blame. Those that were spared are left out: they surely never began. Of those that had
-// just begun they are those of the job with most counted against it before, and of the others too; but others answer beside those that had just begun
-// only where more is counted against them. So a sound job that shares workers with one that crashes them is charged at its first crash at most, and not for
-// the next ones. Tasks of one job don't excuse each other: it fails with any of them, and one went unnoticed for six starts beside two others that were
-// charged for its crashes.
-func accused(runs []Run, spared []bool) []bool {
-	list := make([]bool, len(runs))
-	var began []*Run
+// blamedRuns returns, by run, whether its task may have crashed the lost worker. Runs that never started
+// are excluded. Among the runs that had just started, those of the job with the highest counted losses are
+// blamed. Older runs are blamed only if no run had just started, or if the losses counted against their job
+// are higher still; again only those of the job with the highest counted losses.
+//
+// So at most the first crash counts against a sound job beside one that crashes its workers. Tasks of one
+// job don't excuse each other, because each of them can fail the whole job. When they did, a task crashed
+// its workers undetected for six starts beside two others that were blamed for the crashes.
+func blamedRuns(runs []Run, neverStarted []bool) []bool {
+	blamed := make([]bool, len(runs))
+	var started []*Run
 	for i := range runs {
-		if !spared[i] {
-			began = append(began, &runs[i])
+		if !neverStarted[i] {
+			started = append(started, &runs[i])
 		}
 	}
-	before := beforeOf(began)
-	begun, others := mostCharged(began, before, true), mostCharged(began, before, false)
+	highest := highestByJob(started)
+	mostImmediate, mostOlder := mostBlamed(started, highest, true), mostBlamed(started, highest, false)
 	for i := range runs {
 		r := &runs[i]
-		if spared[i] {
+		if neverStarted[i] {
 			continue
 		}
-		counted := before[r.Task.Job]
+		counted := highest[r.Task.Job]
 		switch {
-		case r.atOnce():
-			list[i] = !worse(before[begun.Task.Job], counted)
-		case begun == nil || worse(before[others.Task.Job], before[begun.Task.Job]):
-			list[i] = !worse(before[others.Task.Job], counted)
+		case r.isImmediate():
+			blamed[i] = !countsMore(highest[mostImmediate.Task.Job], counted)
+		case mostImmediate == nil || countsMore(highest[mostOlder.Task.Job], highest[mostImmediate.Task.Job]):
+			blamed[i] = !countsMore(highest[mostOlder.Task.Job], counted)
 		}
 	}
-	return list
+	return blamed
 }
 
-// beforeOf is the most that was counted against one task of each job.
-func beforeOf(runs []*Run) map[job.ID]job.Losses {
-	before := map[job.ID]job.Losses{}
+// highestByJob returns the highest losses counted against a single task, by job.
+func highestByJob(runs []*Run) map[job.ID]job.Losses {
+	highest := map[job.ID]job.Losses{}
 	for _, r := range runs {
-		if worse(r.Before, before[r.Task.Job]) {
-			before[r.Task.Job] = r.Before
+		if countsMore(r.Before, highest[r.Task.Job]) {
+			highest[r.Task.Job] = r.Before
 		}
 	}
-	return before
+	return highest
 }
 
-// mostCharged is a run of the job with most counted against it, of those that had just begun or of the others; nil for none.
-func mostCharged(runs []*Run, before map[job.ID]job.Losses, atOnce bool) *Run {
+// mostBlamed returns a run of the job with the highest counted losses, among the runs that had just started
+// (immediate) or among the others; nil if there is none.
+func mostBlamed(runs []*Run, highest map[job.ID]job.Losses, immediate bool) *Run {
 	var most *Run
 	for _, r := range runs {
-		if r.atOnce() == atOnce && (most == nil || worse(before[r.Task.Job], before[most.Task.Job])) {
+		if r.isImmediate() == immediate && (most == nil || countsMore(highest[r.Task.Job], highest[most.Task.Job])) {
 			most = r
 		}
 	}
 	return most
 }
 
-// worse reports whether more is counted against one task than against another.
-func worse(l, o job.Losses) bool {
+// countsMore reports whether l counts more against a task than o.
+func countsMore(l, o job.Losses) bool {
 	if l.AtOnce != o.AtOnce {
 		return l.AtOnce > o.AtOnce
 	}
--- a/internal/loss/chance_test.go
+++ b/internal/loss/chance_test.go
@@ -11,218 +11,235 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// site is workers that crash by themselves at a rate, and tasks that run on most of them. Each loss is known a while later, as the worker comes back.
-type site struct {
-	Workers   int           // With a task on each but idle.
-	Idle      int           // Of them, without a task.
-	Between   time.Duration // Mean time between two crashes of a worker; 0 for none.
-	Work      time.Duration // Of each sound task.
-	CrashAge  time.Duration // One task at a time crashes its worker so long after its start; 0 for none.
-	Tasks     int           // That end before the play does: of those that crash their workers where there are any, otherwise of the sound ones.
-	NewTenure time.Duration // So often another box takes over, which knows only what is kept; 0 for never.
+// simulatedSite describes workers that crash at random and the tasks that run on them. Each loss is
+// detected when the worker restarts.
+type simulatedSite struct {
+	Workers       int           // Number of workers. All but the idle ones run one task each.
+	Idle          int           // Number of workers without a task.
+	CrashInterval time.Duration // Mean time between two crashes of a worker; 0 for no crashes.
+	RunTime       time.Duration // Run time of each sound task.
+	// Time from its start after which a crashing task crashes its worker; 0 for no crashing task. One such task
+	// runs at a time.
+	CrashAge time.Duration
+	// Number of ended tasks that ends the simulation: crashing tasks if there are any, else sound ones.
+	Tasks int
+	// Interval at which another box takes over with a new detector and the stored counts; 0 for never.
+	TakeoverInterval time.Duration
 }
 
 const (
-	chanceTick = 500 * time.Millisecond
-	chanceBack = 4 * time.Second // From a crash until it is known and the worker is back.
-	// chanceMost bounds a play: tasks that are never given up don't end.
-	chanceMost = 4_000_000
+	simulationStep = 500 * time.Millisecond // Length of a simulation step.
+	// Time from a crash until the loss is detected and the worker has restarted.
+	restartDelay = 4 * time.Second
+	// maxSteps limits the steps of a simulation, which does not end by itself if a crashing task is never
+	// failed.
+	maxSteps = 4_000_000
 )
 
-// outcome is what became of the tasks of a site.
-type outcome struct {
-	Done, GivenUp int // Sound tasks.
-	Crashers      int // Tasks that crash their workers, which were given up.
-	Beyond        int // Of them, those that were started more than five times.
-	MostStarts    int
+// simulationResult counts how the tasks of a site ended.
+type simulationResult struct {
+	// Sound tasks that ended, and those that were failed.
+	Done, Failed    int
+	FailedCrashing  int // Crashing tasks that were failed.
+	StartedTooOften int // Crashing tasks that were failed after more than five starts.
+	MostStarts      int // Highest number of starts of a crashing task.
 }
 
-// machine is a worker of a site, with the task that runs there.
-type machine struct {
-	life   int
-	task   job.Task
-	busy   bool
-	began  time.Time
-	backAt time.Time // Zero while it lives.
+// simulatedWorker is a worker of a site and the task that runs there.
+type simulatedWorker struct {
+	restarts  int
+	task      job.Task
+	busy      bool
+	startedAt time.Time
+	restartAt time.Time // Time of its restart after a crash; zero while it runs.
 }
 
-// playing is a site as it is played.
-type playing struct {
-	site
-	outcome
-	judge    Judge
-	tally    map[job.Task]job.Losses
-	starts   map[job.Task]int
-	machines []machine
-	named    int
-	now      time.Time
+// simulation is the state of a simulation of a site.
+type simulation struct {
+	simulatedSite
+	simulationResult
+	detector     Judge
+	counts       map[job.Task]job.Losses // Counted losses by task.
+	starts       map[job.Task]int
+	workers      []simulatedWorker
+	tasksCreated int // Number of tasks created so far, which makes their names unique.
+	now          time.Time
 }
 
-func (s *site) play(seed uint64) outcome {
-	c := &playing{site: *s, tally: map[job.Task]job.Losses{}, starts: map[job.Task]int{}, machines: make([]machine, s.Workers), now: time.Unix(1000, 0)}
-	drawn := rand.New(rand.NewPCG(seed, seed))
-	for i := range c.machines {
-		if c.machines[i].busy = i >= c.Idle; c.machines[i].busy {
-			c.next(&c.machines[i], i == c.Idle && c.CrashAge > 0)
+// simulate simulates the site with a random seed and returns how its tasks ended.
+func (s *simulatedSite) simulate(seed uint64) simulationResult {
+	sim := &simulation{simulatedSite: *s, counts: map[job.Task]job.Losses{}, starts: map[job.Task]int{}, workers: make([]simulatedWorker, s.Workers), now: time.Unix(1000, 0)}
+	random := rand.New(rand.NewPCG(seed, seed))
+	for i := range sim.workers {
+		if sim.workers[i].busy = i >= sim.Idle; sim.workers[i].busy {
+			sim.startNewTask(&sim.workers[i], i == sim.Idle && sim.CrashAge > 0)
 		}
 	}
-	for tick := range chanceMost {
-		c.now = c.now.Add(chanceTick)
-		if c.ended() {
+	for step := range maxSteps {
+		sim.now = sim.now.Add(simulationStep)
+		if sim.ended() {
 			break
 		}
-		if c.NewTenure > 0 && c.now.Sub(time.Unix(1000, 0))%c.NewTenure < chanceTick {
-			c.judge = Judge{}
+		if sim.TakeoverInterval > 0 && sim.now.Sub(time.Unix(1000, 0))%sim.TakeoverInterval < simulationStep {
+			sim.detector = Judge{}
 		}
-		if tick%2 == 0 {
-			c.judge.Watch(c.unsuspected(), c.now)
+		if step%2 == 0 {
+			sim.detector.Watch(sim.withoutSuspect(), sim.now)
 		}
-		for i := range c.machines {
-			c.step(i, c.Between > 0 && drawn.Float64() < chanceTick.Seconds()/c.Between.Seconds())
+		for i := range sim.workers {
+			sim.step(i, sim.CrashInterval > 0 && random.Float64() < simulationStep.Seconds()/sim.CrashInterval.Seconds())
 		}
 	}
-	return c.outcome
+	return sim.simulationResult
 }
 
-func (c *playing) ended() bool {
-	if c.CrashAge > 0 {
-		return c.Crashers >= c.Tasks
+// ended reports whether enough tasks have ended.
+func (s *simulation) ended() bool {
+	if s.CrashAge > 0 {
+		return s.FailedCrashing >= s.Tasks
 	}
-	return c.Done+c.GivenUp >= c.Tasks
+	return s.Done+s.Failed >= s.Tasks
 }
 
-func (c *playing) unsuspected() (n int) {
-	for i := range c.machines {
-		if b := &c.machines[i]; b.backAt.IsZero() && c.tally[b.task].All == 0 {
+// withoutSuspect returns the number of running workers without a suspect task.
+func (s *simulation) withoutSuspect() (n int) {
+	for i := range s.workers {
+		if worker := &s.workers[i]; worker.restartAt.IsZero() && s.counts[worker.task].All == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// next has another task begin.
-func (c *playing) next(b *machine, crashes bool) {
-	c.named++
-	b.task = job.Task{Job: job.ID(fmt.Sprintf("a%d", c.named))}
+// startNewTask starts another task on a worker.
+func (s *simulation) startNewTask(worker *simulatedWorker, crashes bool) {
+	s.tasksCreated++
+	worker.task = job.Task{Job: job.ID(fmt.Sprintf("a%d", s.tasksCreated))}
 	if crashes {
-		b.task.Job = job.ID(fmt.Sprintf("p%d", c.named))
+		worker.task.Job = job.ID(fmt.Sprintf("p%d", s.tasksCreated))
 	}
-	c.begin(b)
+	s.startTask(worker)
 }
 
-func (c *playing) begin(b *machine) {
-	b.began = c.now
-	c.starts[b.task]++
+// startTask records another start of the worker's task.
+func (s *simulation) startTask(worker *simulatedWorker) {
+	worker.startedAt = s.now
+	s.starts[worker.task]++
 }
 
-func (b *machine) crashes() bool { return b.task.Job != "" && b.task.Job[0] == 'p' }
+// runsCrashingTask reports whether the worker's task crashes it.
+func (worker *simulatedWorker) runsCrashingTask() bool {
+	return worker.task.Job != "" && worker.task.Job[0] == 'p'
+}
 
-// step plays a tick of a worker.
-func (c *playing) step(i int, crashes bool) {
-	b := &c.machines[i]
-	age := c.now.Sub(b.began)
+// step simulates one step of a worker.
+func (s *simulation) step(i int, crashes bool) {
+	worker := &s.workers[i]
+	age := s.now.Sub(worker.startedAt)
 	switch {
-	case !b.backAt.IsZero():
-		if c.now.Before(b.backAt) {
+	case !worker.restartAt.IsZero():
+		if s.now.Before(worker.restartAt) {
 			return
 		}
-		c.lose(i)
-		b.backAt = time.Time{}
-		b.life++
-		c.judgeTask(b)
-	case crashes || b.crashes() && age >= c.CrashAge:
-		b.backAt = c.now.Add(chanceBack)
-	case b.busy && !b.crashes() && age >= c.Work:
-		c.Done++
-		c.next(b, false)
+		s.reportLoss(i)
+		worker.restartAt = time.Time{}
+		worker.restarts++
+		s.restartOrReplace(worker)
+	case crashes || worker.runsCrashingTask() && age >= s.CrashAge:
+		worker.restartAt = s.now.Add(restartDelay)
+	case worker.busy && !worker.runsCrashingTask() && age >= s.RunTime:
+		s.Done++
+		s.startNewTask(worker, false)
 	}
 }
 
-// lose has a worker's loss judged.
-func (c *playing) lose(i int) {
-	b := &c.machines[i]
-	heard := b.backAt.Add(-chanceBack)
+// reportLoss reports a worker's loss to the detector and adds up the counted losses.
+func (s *simulation) reportLoss(i int) {
+	worker := &s.workers[i]
+	lastSeen := worker.restartAt.Add(-restartDelay)
 	w := Worker{
-		Life: life.ID{Worker: fmt.Sprint(i, "/", b.life)}, Address: fmt.Sprint(i), Hall: Group{fmt.Sprint("hall-", i%3), c.Workers / 3}, Rack: Group{fmt.Sprint("rack-", i/8), 8},
-		Heard: heard, Missed: heard.Add(time.Second), Proven: true,
+		Life: life.ID{Worker: fmt.Sprint(i, "/", worker.restarts)}, Address: fmt.Sprint(i), Hall: Group{fmt.Sprint("hall-", i%3), s.Workers / 3}, Rack: Group{fmt.Sprint("rack-", i/8), 8},
+		Heard: lastSeen, Missed: lastSeen.Add(time.Second), Proven: true,
 	}
-	if b.busy {
-		w.Runs = []Run{{Task: b.task, Before: c.tally[b.task], Seen: heard.Sub(b.began)}}
+	if worker.busy {
+		w.Runs = []Run{{Task: worker.task, Before: s.counts[worker.task], Seen: lastSeen.Sub(worker.startedAt)}}
 	}
-	for _, x := range c.judge.Lost(w, c.now) {
-		c.tally[x.Task] = c.tally[x.Task].Add(x.Change)
+	for _, x := range s.detector.Lost(w, s.now) {
+		s.counts[x.Task] = s.counts[x.Task].Add(x.Change)
 	}
 }
 
-// judgeTask starts a task again, or gives it up.
-func (c *playing) judgeTask(b *machine) {
+// restartOrReplace restarts a task, or replaces it by another one if it is crash-looping.
+func (s *simulation) restartOrReplace(worker *simulatedWorker) {
 	switch {
-	case !b.busy:
-	case c.judge.Weigh(b.task, c.tally[b.task], c.now) != Guilty:
-		c.begin(b)
-	case b.crashes():
-		c.Crashers++
-		c.MostStarts = max(c.MostStarts, c.starts[b.task])
-		if c.starts[b.task] > MostStarts {
-			c.Beyond++
+	case !worker.busy:
+	case s.detector.Weigh(worker.task, s.counts[worker.task], s.now) != Guilty:
+		s.startTask(worker)
+	case worker.runsCrashingTask():
+		s.FailedCrashing++
+		s.MostStarts = max(s.MostStarts, s.starts[worker.task])
+		if s.starts[worker.task] > MaxLossesAndStarts {
+			s.StartedTooOften++
 		}
-		c.next(b, true)
+		s.startNewTask(worker, true)
 	default:
-		c.GivenUp++
-		c.next(b, false)
+		s.Failed++
+		s.startNewTask(worker, false)
 	}
 }
 
-// TestGivenUpByChance holds both sides of what a loss counts, where workers also crash by themselves: tasks that crash their workers, however late, are given
-// up before their sixth start, also by boxes that have just taken over, and sound work of any length is not.
-func TestGivenUpByChance(t *testing.T) {
-	for name, s := range map[string]site{
-		"crash after 35 s, nothing else":         {Workers: 12, Idle: 4, Work: time.Minute, CrashAge: 35 * time.Second, Tasks: 20},
-		"crash after 2 h, nothing else":          {Workers: 50, Idle: 10, Work: time.Hour, CrashAge: 2 * time.Hour, Tasks: 3},
-		"crash after 35 s, a crash an hour":      {Workers: 50, Idle: 10, Between: time.Hour, Work: time.Minute, CrashAge: 35 * time.Second, Tasks: 100},
-		"crash after 10 min, a crash in 8 hours": {Workers: 50, Idle: 10, Between: 8 * time.Hour, Work: time.Minute, CrashAge: 10 * time.Minute, Tasks: 20},
-		"crash after 10 min, a crash in 45 min":  {Workers: 50, Idle: 10, Between: 45 * time.Minute, Work: time.Minute, CrashAge: 10 * time.Minute, Tasks: 50},
-		"crash after 35 s, new tenures":          {Workers: 50, Idle: 10, Between: time.Hour, Work: time.Minute, CrashAge: 35 * time.Second, Tasks: 50, NewTenure: 20 * time.Second},
+// TestOnlyCrashingTasksAreFailed simulates sites on which workers also crash at random. Tasks that crash
+// their workers, however late, must be failed before their sixth start, also by boxes that have just taken
+// over. Sound tasks of any length must not be failed.
+func TestOnlyCrashingTasksAreFailed(t *testing.T) {
+	for name, s := range map[string]simulatedSite{
+		"crash after 35 s, nothing else":         {Workers: 12, Idle: 4, RunTime: time.Minute, CrashAge: 35 * time.Second, Tasks: 20},
+		"crash after 2 h, nothing else":          {Workers: 50, Idle: 10, RunTime: time.Hour, CrashAge: 2 * time.Hour, Tasks: 3},
+		"crash after 35 s, a crash an hour":      {Workers: 50, Idle: 10, CrashInterval: time.Hour, RunTime: time.Minute, CrashAge: 35 * time.Second, Tasks: 100},
+		"crash after 10 min, a crash in 8 hours": {Workers: 50, Idle: 10, CrashInterval: 8 * time.Hour, RunTime: time.Minute, CrashAge: 10 * time.Minute, Tasks: 20},
+		"crash after 10 min, a crash in 45 min":  {Workers: 50, Idle: 10, CrashInterval: 45 * time.Minute, RunTime: time.Minute, CrashAge: 10 * time.Minute, Tasks: 50},
+		"crash after 35 s, new tenures":          {Workers: 50, Idle: 10, CrashInterval: time.Hour, RunTime: time.Minute, CrashAge: 35 * time.Second, Tasks: 50, TakeoverInterval: 20 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := s.play(1)
-			quicktest.Check(t, o.Crashers >= s.Tasks, quicktest.IsTrue)
-			quicktest.Check(t, o.Beyond, quicktest.Equals, 0)
-			quicktest.Check(t, o.GivenUp, quicktest.Equals, 0)
+			result := s.simulate(1)
+			quicktest.Check(t, result.FailedCrashing >= s.Tasks, quicktest.IsTrue)
+			quicktest.Check(t, result.StartedTooOften, quicktest.Equals, 0)
+			quicktest.Check(t, result.Failed, quicktest.Equals, 0)
 		})
 	}
-	for name, s := range map[string]site{
-		"minutes of work, a crash an hour":  {Workers: 50, Idle: 10, Between: time.Hour, Work: 5 * time.Minute, Tasks: 2000},
-		"hours of work, a crash a day":      {Workers: 50, Idle: 10, Between: 24 * time.Hour, Work: 2 * time.Hour, Tasks: 500},
-		"seconds of work, a crash a minute": {Workers: 50, Idle: 10, Between: time.Minute, Work: 5 * time.Second, Tasks: 2000},
+	for name, s := range map[string]simulatedSite{
+		"minutes of work, a crash an hour":  {Workers: 50, Idle: 10, CrashInterval: time.Hour, RunTime: 5 * time.Minute, Tasks: 2000},
+		"hours of work, a crash a day":      {Workers: 50, Idle: 10, CrashInterval: 24 * time.Hour, RunTime: 2 * time.Hour, Tasks: 500},
+		"seconds of work, a crash a minute": {Workers: 50, Idle: 10, CrashInterval: time.Minute, RunTime: 5 * time.Second, Tasks: 2000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := s.play(1)
-			quicktest.Check(t, o.Done > 0, quicktest.IsTrue)
-			quicktest.Check(t, o.GivenUp, quicktest.Equals, 0)
+			result := s.simulate(1)
+			quicktest.Check(t, result.Done > 0, quicktest.IsTrue)
+			quicktest.Check(t, result.Failed, quicktest.Equals, 0)
 		})
 	}
 }
 
-// BenchmarkGivenUpByChance reports the share of sound tasks that are given up, in percent, by how much work they are against the mean time between two crashes of a
-// worker; and of tasks that crash their workers those that are started more than five times, by how late they do.
-func BenchmarkGivenUpByChance(b *testing.B) {
-	for _, between := range []time.Duration{2 * time.Minute, 10 * time.Minute, time.Hour} {
-		for _, part := range []float64{0.05, 0.1, 0.25, 0.5, 1} {
-			work := time.Duration(part * float64(between))
-			b.Run(fmt.Sprintf("sound/%s/%.2f", between, part), func(b *testing.B) {
+// BenchmarkFailedTasks reports the percentage of sound tasks that are failed, for several run times
+// relative to the mean time between two crashes of a worker. It also reports the percentage of crashing
+// tasks that are started more than five times, for several ages at which they crash.
+func BenchmarkFailedTasks(b *testing.B) {
+	for _, interval := range []time.Duration{2 * time.Minute, 10 * time.Minute, time.Hour} {
+		for _, share := range []float64{0.05, 0.1, 0.25, 0.5, 1} {
+			runTime := time.Duration(share * float64(interval))
+			b.Run(fmt.Sprintf("sound/%s/%.2f", interval, share), func(b *testing.B) {
 				for range b.N {
-					s := site{Workers: 50, Idle: 10, Between: between, Work: work, Tasks: 5000}
-					o := s.play(2)
-					b.ReportMetric(100*float64(o.GivenUp)/float64(max(o.Done+o.GivenUp, 1)), "given_up_%")
+					s := simulatedSite{Workers: 50, Idle: 10, CrashInterval: interval, RunTime: runTime, Tasks: 5000}
+					result := s.simulate(2)
+					b.ReportMetric(100*float64(result.Failed)/float64(max(result.Done+result.Failed, 1)), "given_up_%")
 				}
 			})
-			b.Run(fmt.Sprintf("crashing/%s/%.2f", between, part), func(b *testing.B) {
+			b.Run(fmt.Sprintf("crashing/%s/%.2f", interval, share), func(b *testing.B) {
 				for range b.N {
-					s := site{Workers: 50, Idle: 10, Between: between, Work: between / 10, CrashAge: work, Tasks: 100}
-					o := s.play(3)
-					b.ReportMetric(100*float64(o.Beyond)/float64(max(o.Crashers, 1)), "beyond_%")
-					b.ReportMetric(float64(o.Crashers), "given_up")
+					s := simulatedSite{Workers: 50, Idle: 10, CrashInterval: interval, RunTime: interval / 10, CrashAge: runTime, Tasks: 100}
+					result := s.simulate(3)
+					b.ReportMetric(100*float64(result.StartedTooOften)/float64(max(result.FailedCrashing, 1)), "beyond_%")
+					b.ReportMetric(float64(result.FailedCrashing), "given_up")
 				}
 			})
 		}
--- a/internal/loss/judge.go
+++ b/internal/loss/judge.go
@@ -8,103 +8,108 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// Judge keeps the workers that were lost lately. The zero value is ready.
+// Judge records recent losses of workers and decides which of them count against a task. The zero value is
+// ready to use.
 type Judge struct {
-	events []*event
-	byName map[string]*event      // The last loss of each worker.
-	byTask map[job.Task][]lostRun // The runs of each task that were lost.
+	events []*lossEvent           // Recent losses, oldest first.
+	byName map[string]*lossEvent  // Last loss of each worker, by name.
+	byTask map[job.Task][]lostRun // Lost runs of each task.
 
-	background Background // But for the losses that are kept.
-	lostAlone  int        // Of those that are kept: how many are of the background.
+	background           Background // Background losses without those in events.
+	keptBackgroundLosses int        // Number of background losses in events.
 }
 
-// lostRun is a run by its place in a loss.
+// lostRun is a run that was lost: a loss and the index of the run in it.
 type lostRun struct {
-	*event
-	place int
+	*lossEvent
+	run int
 }
 
-// event is a worker's loss.
-type event struct {
+// lossEvent is the loss of a worker.
+type lossEvent struct {
 	Worker
-	at       time.Time
-	proven   bool
-	refuted  bool         // It runs on: it was cut off.
-	suspect  bool         // A task that ran there may be to blame for it.
-	accused  []bool       // By run: its task may be to blame.
-	spared   []bool       // By run: it surely never began.
-	counted  []job.Losses // By run: what is counted now.
-	resolves time.Time    // When it counts as proven.
-	others   int          // Workers without a suspect task that were lost together with it.
-	hall     groupLoss
-	rack     groupLoss
-
-	background bool       // It is counted as one of the background.
-	before     Background // As it was known at the loss.
+	at           time.Time    // Time at which the loss was reported.
+	endProven    bool         // The worker's process has surely ended.
+	stillRuns    bool         // The worker still runs: it was only cut off.
+	hasSuspect   bool         // A task that ran there may have crashed it.
+	blamed       []bool       // By run: its task may have crashed the worker.
+	neverStarted []bool       // By run: it never started.
+	counted      []job.Losses // By run: losses counted against its task at present.
+	provenAt     time.Time    // Time from which it counts as proven.
+	othersLost   int          // Number of workers without a suspect task that were lost at the same time.
+	hall         groupLoss
+	rack         groupLoss
+
+	background       bool       // It is counted in keptBackgroundLosses.
+	backgroundBefore Background // Estimate of background losses at the time of this loss.
 }
 
-// groupLoss is what was lost of a group together with one of its workers. It is counted as losses come: counting anew for each of 350 workers that
-// were lost within a second took 0.5 s on one core (BenchmarkHallsLost).
+// groupLoss counts the workers of a hall or rack that were lost at the same time as one of its workers. It
+// is updated with each loss: counting again for each of 350 workers that are lost within a second took
+// 0.5 s on one core (BenchmarkHallsLost).
 type groupLoss struct {
-	lost, others, size int
+	lost, withoutSuspect, size int
 }
 
-// lostAsOne reports whether most workers of the group were lost, and enough of them for no task's doing.
-func (g *groupLoss) lostAsOne() bool {
-	return g.others >= othersLost && float64(g.lost) >= groupShare*float64(g.size)
+// isGroupLost reports whether the group was lost as a whole: most of its workers, and enough of them
+// without a suspect task.
+func (g *groupLoss) isGroupLost() bool {
+	return g.withoutSuspect >= minOthersLost && float64(g.lost) >= minGroupShare*float64(g.size)
 }
 
-func (g *groupLoss) add(o *event, size, sign int) {
+// add adds the loss of another worker, or removes it with a sign of -1.
+func (g *groupLoss) add(o *lossEvent, size, sign int) {
 	g.lost += sign
 	g.size = max(g.size, size)
-	if !o.suspect {
-		g.others += sign
+	if !o.hasSuspect {
+		g.withoutSuspect += sign
 	}
 }
 
-// Lost takes in a worker's loss and returns what changes for the tasks that ran there, and for those of workers lost before.
-func (j *Judge) Lost(w Worker, now time.Time) []Charge {
-	j.prune(now)
-	if e := j.find(w.Life); e != nil {
-		e.proven = e.proven || w.Proven
+// Lost records the loss of a worker. It returns the changes of counted losses for the tasks that ran there
+// and for tasks of workers that were lost before.
+func (d *Judge) Lost(w Worker, now time.Time) []Charge {
+	d.prune(now)
+	if e := d.find(w.Life); e != nil {
+		e.endProven = e.endProven || w.Proven
 		return nil
 	}
-	e := &event{Worker: w, at: now, proven: w.Proven, resolves: now.Add(Resolved), spared: make([]bool, len(w.Runs)), counted: make([]job.Losses, len(w.Runs))}
-	e.before = j.Background()
-	e.accused = accused(e.Runs, e.spared)
+	e := &lossEvent{Worker: w, at: now, endProven: w.Proven, provenAt: now.Add(Resolved), neverStarted: make([]bool, len(w.Runs)), counted: make([]job.Losses, len(w.Runs))}
+	e.backgroundBefore = d.Background()
+	e.blamed = blamedRuns(e.Runs, e.neverStarted)
 	for i := range w.Runs {
-		e.suspect = e.suspect || w.Runs[i].atOnce() || w.Runs[i].Before.All > 0
+		e.hasSuspect = e.hasSuspect || w.Runs[i].isImmediate() || w.Runs[i].Before.All > 0
 	}
-	j.add(e)
-	return j.review(e)
+	d.add(e)
+	return d.recountSimultaneous(e)
 }
 
-// add keeps a loss.
-func (j *Judge) add(e *event) {
-	if j.byName == nil {
-		j.byName, j.byTask = map[string]*event{}, map[job.Task][]lostRun{}
+// add stores a loss and updates the losses that happened at the same time.
+func (d *Judge) add(e *lossEvent) {
+	if d.byName == nil {
+		d.byName, d.byTask = map[string]*lossEvent{}, map[job.Task][]lostRun{}
 	}
 	e.hall.add(e, e.Hall.Size, 1)
 	e.rack.add(e, e.Rack.Size, 1)
-	for _, o := range j.events {
-		if e.with(o) {
-			e.join(o, 1)
-			o.join(e, 1)
-			j.settle(o)
+	for _, o := range d.events {
+		if e.lostWith(o) {
+			e.countSimultaneous(o, 1)
+			o.countSimultaneous(e, 1)
+			d.updateBackground(o)
 		}
 	}
-	j.settle(e)
-	j.events = append(j.events, e)
-	j.byName[e.Life.Worker] = e
+	d.updateBackground(e)
+	d.events = append(d.events, e)
+	d.byName[e.Life.Worker] = e
 	for i := range e.Runs {
-		j.byTask[e.Runs[i].Task] = append(j.byTask[e.Runs[i].Task], lostRun{e, i})
+		d.byTask[e.Runs[i].Task] = append(d.byTask[e.Runs[i].Task], lostRun{e, i})
 	}
 }
 
-// join counts another worker that was lost together with one, or with a sign of -1 that it was not after all.
-func (e *event) join(o *event, sign int) {
-	if !o.suspect {
-		e.others += sign
+// countSimultaneous counts o as lost at the same time as e, or removes it with a sign of -1.
+func (e *lossEvent) countSimultaneous(o *lossEvent, sign int) {
+	if !o.hasSuspect {
+		e.othersLost += sign
 	}
 	if o.Hall.Name == e.Hall.Name {
 		e.hall.add(o, o.Hall.Size, sign)
@@ -114,224 +119,235 @@
 	}
 }
 
-// Returned takes in that a worker's life that was lost runs on: it was cut off, and nothing of that is its tasks' doing. A later life of the worker shows the opposite.
-func (j *Judge) Returned(l life.ID) []Charge {
-	e := j.find(l)
-	if e == nil || e.proven {
+// Returned records that a worker incarnation reported as lost still runs: it was only cut off, so its tasks
+// did not crash it. It returns the changes of counted losses. A later incarnation of the worker is no such
+// sign; see Replaced.
+func (d *Judge) Returned(l life.ID) []Charge {
+	e := d.find(l)
+	if e == nil || e.endProven {
 		return nil
 	}
-	for _, o := range j.events {
-		if o != e && o.with(e) {
-			o.join(e, -1)
-			j.settle(o)
+	for _, o := range d.events {
+		if o != e && o.lostWith(e) {
+			o.countSimultaneous(e, -1)
+			d.updateBackground(o)
 		}
 	}
-	e.refuted = true
-	j.settle(e)
-	return append(j.recountTasks(e), j.review(e)...)
+	e.stillRuns = true
+	d.updateBackground(e)
+	return append(d.recountTasks(e), d.recountSimultaneous(e)...)
 }
 
-// NeverRan takes in that a run that was lost with a worker surely never began there: its start was refused after all. Another that ran there may be
-// to blame instead.
-func (j *Judge) NeverRan(l life.ID, t job.Task) []Charge {
-	e := j.find(l)
+// NeverRan records that a run lost with a worker never started there, because the worker had refused it.
+// Another run on that worker may be blamed instead. It returns the changes of counted losses.
+func (d *Judge) NeverRan(l life.ID, t job.Task) []Charge {
+	e := d.find(l)
 	if e == nil {
 		return nil
 	}
 	for i := range e.Runs {
-		e.spared[i] = e.spared[i] || e.Runs[i].Task == t
+		e.neverStarted[i] = e.neverStarted[i] || e.Runs[i].Task == t
 	}
-	e.accused = accused(e.Runs, e.spared)
-	return j.recountTasks(e)
+	e.blamed = blamedRuns(e.Runs, e.neverStarted)
+	return d.recountTasks(e)
 }
 
-// Replaced takes in that another life has come at an address, or a later one of a worker, so that the one before has ended.
-func (j *Judge) Replaced(address string, by life.ID) {
-	for _, e := range j.events {
-		if (e.Address == address && !e.Life.Is(by) || by.Follows(e.Life)) && !e.Life.Follows(by) && !e.refuted {
-			e.proven = true
+// Replaced records that a later incarnation of a worker, or another worker at the same address, has
+// started. The process before it has surely ended.
+func (d *Judge) Replaced(address string, by life.ID) {
+	for _, e := range d.events {
+		if (e.Address == address && !e.Life.Is(by) || by.Follows(e.Life)) && !e.Life.Follows(by) && !e.stillRuns {
+			e.endProven = true
 		}
 	}
 }
 
-// Open is the part of what is counted against a task that is not proven: the workers may yet turn out to run on.
-func (j *Judge) Open(t job.Task, now time.Time) job.Losses {
+// Open returns the counted losses of a task that are not proven, because the workers may still run.
+func (d *Judge) Open(t job.Task, now time.Time) job.Losses {
 	var sum job.Losses
-	for _, r := range j.byTask[t] {
-		if !r.proven && now.Before(r.resolves) {
-			sum = sum.Add(r.counted[r.place])
+	for _, r := range d.byTask[t] {
+		if !r.endProven && now.Before(r.provenAt) {
+			sum = sum.Add(r.counted[r.run])
 		}
 	}
 	return sum
 }
 
-// Together counts the workers of a hall that were lost lately.
-func (j *Judge) Together(hall string, now time.Time) int {
+// Together returns the number of workers of a hall that were lost recently.
+func (d *Judge) Together(hall string, now time.Time) int {
 	n := 0
-	for _, e := range j.events {
-		if e.Hall.Name == hall && !e.refuted && now.Sub(e.at) <= Together {
+	for _, e := range d.events {
+		if e.Hall.Name == hall && !e.stillRuns && now.Sub(e.at) <= SimultaneousWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// find returns the loss of a worker's life that has not returned since.
-func (j *Judge) find(l life.ID) *event {
-	if e := j.byName[l.Worker]; e != nil && !e.refuted && e.Life.Is(l) {
+// find returns the loss of a worker incarnation, or nil if there is none or the worker has returned since.
+func (d *Judge) find(l life.ID) *lossEvent {
+	if e := d.byName[l.Worker]; e != nil && !e.stillRuns && e.Life.Is(l) {
 		return e
 	}
 	return nil
 }
 
-// prune drops losses that nothing depends on any more.
-func (j *Judge) prune(now time.Time) {
-	old := 0
-	for ; old < len(j.events) && now.Sub(j.events[old].at) > Resolved+Together; old++ {
-		e := j.events[old]
-		if j.byName[e.Life.Worker] == e {
-			delete(j.byName, e.Life.Worker)
+// prune drops losses that are too old to affect any count.
+func (d *Judge) prune(now time.Time) {
+	dropped := 0
+	for ; dropped < len(d.events) && now.Sub(d.events[dropped].at) > Resolved+SimultaneousWindow; dropped++ {
+		e := d.events[dropped]
+		if d.byName[e.Life.Worker] == e {
+			delete(d.byName, e.Life.Worker)
 		}
 		for i := range e.Runs {
-			j.dropRun(e, e.Runs[i].Task)
+			d.dropRun(e, e.Runs[i].Task)
 		}
 		if e.background {
-			j.lostAlone--
-			j.background.Lost++
+			d.keptBackgroundLosses--
+			d.background.Lost++
 		}
 	}
-	j.events = j.events[old:]
+	d.events = d.events[dropped:]
 }
 
-func (j *Judge) dropRun(e *event, t job.Task) {
-	left := slices.DeleteFunc(j.byTask[t], func(r lostRun) bool { return r.event == e })
+// dropRun removes the runs of a loss from the lost runs of a task.
+func (d *Judge) dropRun(e *lossEvent, t job.Task) {
+	left := slices.DeleteFunc(d.byTask[t], func(r lostRun) bool { return r.lossEvent == e })
 	if len(left) == 0 {
-		delete(j.byTask, t)
+		delete(d.byTask, t)
 		return
 	}
-	j.byTask[t] = left
+	d.byTask[t] = left
 }
 
-// review counts anew what a loss says, and what those say that came together with it.
-func (j *Judge) review(e *event) []Charge {
-	var charges []Charge
-	for _, o := range j.events {
+// recountSimultaneous counts a loss again, and those that may have happened at the same time. It returns
+// the changes.
+func (d *Judge) recountSimultaneous(e *lossEvent) []Charge {
+	var changes []Charge
+	for _, o := range d.events {
 		if o == e || o.overlaps(e) {
-			charges = append(charges, j.recount(o)...)
+			changes = append(changes, d.recount(o)...)
 		}
 	}
-	return charges
+	return changes
 }
 
-// recountTasks counts anew what the losses of all tasks say that ran on a worker: what excuses one loss of a task excuses no later one.
-func (j *Judge) recountTasks(e *event) []Charge {
-	charges := j.recount(e)
+// recountTasks counts all losses again of the tasks that ran on a worker: what excuses one loss of a task
+// excuses no later one. It returns the changes.
+func (d *Judge) recountTasks(e *lossEvent) []Charge {
+	changes := d.recount(e)
 	for i := range e.Runs {
-		for _, o := range j.byTask[e.Runs[i].Task] {
-			charges = append(charges, j.recount(o.event)...)
+		for _, o := range d.byTask[e.Runs[i].Task] {
+			changes = append(changes, d.recount(o.lossEvent)...)
 		}
 	}
-	return charges
+	return changes
 }
 
-// recount counts anew what a loss says.
-func (j *Judge) recount(e *event) []Charge {
-	var charges []Charge
+// recount counts a loss again and returns the changes.
+func (d *Judge) recount(e *lossEvent) []Charge {
+	var changes []Charge
 	for i := range e.Runs {
-		if wanted, why := j.weight(e, i); wanted != e.counted[i] {
-			charges = append(charges, Charge{e.Runs[i].Task, wanted.Sub(e.counted[i]), why, e.Life, &e.Runs[i]})
-			e.counted[i] = wanted
+		if counted, reason := d.countedLosses(e, i); counted != e.counted[i] {
+			changes = append(changes, Charge{e.Runs[i].Task, counted.Sub(e.counted[i]), reason, e.Life, &e.Runs[i]})
+			e.counted[i] = counted
 		}
 	}
-	return charges
+	return changes
 }
 
-// weight is what a loss counts against the task of a run that was lost with it, and why.
-func (j *Judge) weight(e *event, i int) (job.Losses, Why) {
+// countedLosses returns what a loss counts against the task of run i, and why.
+func (d *Judge) countedLosses(e *lossEvent, i int) (job.Losses, Reason) {
 	r := &e.Runs[i]
 	switch {
-	case e.refuted && StartsCount(r.Before):
-		return job.Losses{All: 1}, RunsOn
-	case e.refuted:
-		return job.Losses{}, RunsOn
-	case e.spared[i]:
-		return job.Losses{}, NeverBegan
-	case !e.accused[i]:
-		return job.Losses{All: 1}, BesideOther
-	case e.chance(r) > ChanceMost:
-		return job.Losses{All: 1}, ByChance
-	case e.chance(r) > ChanceSlight && r.Before.Counted >= leastCounted:
-		return job.Losses{All: 1}, ChanceAgain
-	case j.lostWithGroup(e, r):
-		return job.Losses{All: 1}, WithGroup
-	case e.others < othersLost && r.atOnce():
-		return job.Losses{All: 1, Counted: 1, AtOnce: 1}, AtOnce
-	case e.others < othersLost || r.atOnce():
+	case e.stillRuns && StartsCount(r.Before):
+		return job.Losses{All: 1}, StillRuns
+	case e.stillRuns:
+		return job.Losses{}, StillRuns
+	case e.neverStarted[i]:
+		return job.Losses{}, NeverStarted
+	case !e.blamed[i]:
+		return job.Losses{All: 1}, OtherJobBlamed
+	case e.expectedLosses(r) > ChanceMost:
+		return job.Losses{All: 1}, LikelyChance
+	case e.expectedLosses(r) > MaxExpectedLossesIfRepeated && r.Before.Counted >= minCountedLosses:
+		return job.Losses{All: 1}, RepeatedChance
+	case d.isExcusedByGroup(e, r):
+		return job.Losses{All: 1}, GroupLost
+	case e.othersLost < minOthersLost && r.isImmediate():
+		return job.Losses{All: 1, Counted: 1, AtOnce: 1}, CountedImmediate
+	case e.othersLost < minOthersLost || r.isImmediate():
 		return job.Losses{All: 1, Counted: 1}, Counted
 	}
-	return job.Losses{All: 1}, WithOthers
+	return job.Losses{All: 1}, OthersLost
 }
 
-// with reports whether two workers may have been lost at the same time.
-func (e *event) with(o *event) bool { return !e.refuted && !o.refuted && e.overlaps(o) }
+// lostWith reports whether two workers may have been lost at the same time.
+func (e *lossEvent) lostWith(o *lossEvent) bool { return !e.stillRuns && !o.stillRuns && e.overlaps(o) }
 
-// overlaps reports whether the times overlap in which two workers were lost.
-func (e *event) overlaps(o *event) bool {
-	return !e.Heard.After(o.until()) && !o.Heard.After(e.until())
+// overlaps reports whether the periods in which two workers were lost overlap.
+func (e *lossEvent) overlaps(o *lossEvent) bool {
+	return !e.Heard.After(o.latestTime()) && !o.Heard.After(e.latestTime())
 }
 
-// until is when a worker was lost at the latest: once it had left orders unanswered, or where it had none, as it was known to be lost. One that nobody had heard of
-// since a take-over seemed to be lost together with every other one for 14 s.
-func (e *event) until() time.Time {
+// latestTime returns the latest time at which a worker may have been lost: when it left a command
+// unanswered, or else when the loss was reported. Without the first rule a worker that was not seen since a
+// takeover seemed to be lost together with every other worker for 14 s.
+func (e *lossEvent) latestTime() time.Time {
 	if e.Missed.After(e.Heard) {
 		return e.Missed
 	}
 	return e.at
 }
 
-// lostWithGroup reports whether a worker was lost with its hall or rack. That excuses a task once for each such loss: one that has crashed
-// another worker meanwhile is not excused for that.
-func (j *Judge) lostWithGroup(e *event, r *Run) bool {
-	hall, rack := e.hall.lostAsOne(), e.rack.lostAsOne()
+// isExcusedByGroup reports whether a worker was lost with its whole hall or rack. Each such loss excuses a
+// task once: a second worker that the task loses at the same time is not excused.
+func (d *Judge) isExcusedByGroup(e *lossEvent, r *Run) bool {
+	hall, rack := e.hall.isGroupLost(), e.rack.isGroupLost()
 	if !hall && !rack {
 		return false
 	}
-	var inHall, inRack []*event
-	for _, o := range j.byTask[r.Task] {
+	var earlierInHall, earlierInRack []*lossEvent
+	for _, o := range d.byTask[r.Task] {
 		switch {
-		case !o.accused[o.place] || !o.at.Before(e.at):
+		case !o.blamed[o.run] || !o.at.Before(e.at):
 			continue
-		case o.with(e):
+		case o.lostWith(e):
 			return false
 		}
 		if o.Hall.Name == e.Hall.Name {
-			inHall = append(inHall, o.event)
+			earlierInHall = append(earlierInHall, o.lossEvent)
 		}
 		if o.Rack.Name == e.Rack.Name {
-			inRack = append(inRack, o.event)
+			earlierInRack = append(earlierInRack, o.lossEvent)
 		}
 	}
-	return hall && j.lostAnew(e, inHall, hallOf) || rack && j.lostAnew(e, inRack, rackOf)
+	return hall && d.isNewGroupLoss(e, earlierInHall, hallOf) || rack && d.isNewGroupLoss(e, earlierInRack, rackOf)
 }
 
-func hallOf(e *event) string { return e.Hall.Name }
-func rackOf(e *event) string { return e.Rack.Name }
+// hallOf returns the hall of a lost worker.
+func hallOf(e *lossEvent) string { return e.Hall.Name }
+
+// rackOf returns the rack of a lost worker.
+func rackOf(e *lossEvent) string { return e.Rack.Name }
 
-// lostAnew reports whether enough workers of a group were lost together with one of its workers, and not with an earlier one under the same task. A
-// worker with nothing to do is known to be lost up to 5 s later, so that it may have been lost with any of several, but only with one of them.
-func (j *Judge) lostAnew(e *event, earlier []*event, group func(*event) string) bool {
+// isNewGroupLoss reports whether enough workers of a group were lost together with e and not together with
+// an earlier loss of the same task. The loss of an idle worker is detected up to 5 s late, so it may
+// overlap with several losses, but it excuses only one of them.
+func (d *Judge) isNewGroupLoss(e *lossEvent, earlier []*lossEvent, group func(*lossEvent) string) bool {
 	if len(earlier) == 0 {
 		return true
 	}
 	n := 0
-	for i := len(j.events) - 1; i >= 0 && n < othersLost && !j.events[i].at.Before(e.Heard); i-- {
-		o := j.events[i]
-		if o == e || o.suspect || group(o) != group(e) || !e.with(o) {
+	for i := len(d.events) - 1; i >= 0 && n < minOthersLost && !d.events[i].at.Before(e.Heard); i-- {
+		o := d.events[i]
+		if o == e || o.hasSuspect || group(o) != group(e) || !e.lostWith(o) {
 			continue
 		}
-		if !slices.ContainsFunc(earlier, func(x *event) bool { return x.with(o) }) {
+		if !slices.ContainsFunc(earlier, func(x *lossEvent) bool { return x.lostWith(o) }) {
 			n++
 		}
 	}
-	return n >= othersLost
+	return n >= minOthersLost
 }
--- a/internal/loss/kept_test.go
+++ b/internal/loss/kept_test.go
@@ -10,48 +10,50 @@
 	"pgregory.net/rapid"
 )
 
-// TestKeptCountsEqualThoseCountedAnew draws losses and returns of workers, and runs that never began there, and holds what is kept of each loss, and what was charged in
-// all, against what is counted from nothing.
-func TestKeptCountsEqualThoseCountedAnew(t *testing.T) {
+// TestUpdatedCountsEqualCountsFromScratch compares the counts that are updated with each event with counts
+// from scratch. It draws losses and returns of workers and runs that never started, and fails if an update
+// misses an event.
+func TestUpdatedCountsEqualCountsFromScratch(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var j Judge
-		tally := map[job.Task]job.Losses{}
-		take := func(charges []Charge) {
-			for _, c := range charges {
-				tally[c.Task] = tally[c.Task].Add(c.Change)
+		var d Judge
+		counts := map[job.Task]job.Losses{}
+		addCounts := func(changes []Charge) {
+			for _, c := range changes {
+				counts[c.Task] = counts[c.Task].Add(c.Change)
 			}
 		}
 		now := time.Unix(1000, 0)
 		for n := range rapid.IntRange(1, 30).Draw(r, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(r, "ms")) * time.Millisecond)
 			if n > 0 && rapid.IntRange(0, 4).Draw(r, "return") == 0 {
-				take(j.Returned(life.ID{Worker: fmt.Sprint("w", rapid.IntRange(0, n-1).Draw(r, "who"))}))
+				addCounts(d.Returned(life.ID{Worker: fmt.Sprint("w", rapid.IntRange(0, n-1).Draw(r, "who"))}))
 				continue
 			}
 			if n > 0 && rapid.IntRange(0, 4).Draw(r, "never") == 0 {
-				take(j.NeverRan(life.ID{Worker: fmt.Sprint("w", rapid.IntRange(0, n-1).Draw(r, "who"))}, drawTask(r)))
+				addCounts(d.NeverRan(life.ID{Worker: fmt.Sprint("w", rapid.IntRange(0, n-1).Draw(r, "who"))}, drawTask(r)))
 				continue
 			}
-			take(j.Lost(drawLoss(r, n, now, tally), now))
+			addCounts(d.Lost(drawLoss(r, n, now, counts), now))
 		}
 		wanted := map[job.Task]job.Losses{}
-		for _, e := range j.events {
-			compareKept(r, &j, e)
+		for _, e := range d.events {
+			compareWithScratch(r, &d, e)
 			for i := range e.Runs {
-				weight, _ := j.weight(e, i)
-				mustEqual(r, e.counted[i], weight)
+				counted, _ := d.countedLosses(e, i)
+				mustEqual(r, e.counted[i], counted)
 				wanted[e.Runs[i].Task] = wanted[e.Runs[i].Task].Add(e.counted[i])
 			}
 		}
 		for task, l := range wanted {
-			if len(j.events) > 0 && now.Sub(j.events[0].at) < Resolved { // Nothing was dropped.
-				mustEqual(r, tally[task], l)
+			if len(d.events) > 0 && now.Sub(d.events[0].at) < Resolved {
+				mustEqual(r, counts[task], l)
 			}
 		}
 	})
 }
 
-func drawLoss(r *rapid.T, n int, now time.Time, tally map[job.Task]job.Losses) Worker {
+// drawLoss draws the loss of worker n, which is detected now.
+func drawLoss(r *rapid.T, n int, now time.Time, counts map[job.Task]job.Losses) Worker {
 	pick := func(what string, most int) int { return rapid.IntRange(0, most).Draw(r, what) }
 	w := Worker{
 		Life: life.ID{Worker: fmt.Sprint("w", n)}, Address: fmt.Sprint("w", n), Heard: now.Add(-time.Duration(pick("heard", 6000)) * time.Millisecond), Proven: pick("proven", 1) == 0,
@@ -62,26 +64,27 @@
 	}
 	for range pick("runs", 3) {
 		task := drawTask(r)
-		w.Runs = append(w.Runs, Run{Task: task, Before: tally[task], Seen: time.Duration(pick("seen", 1500)) * time.Millisecond})
+		w.Runs = append(w.Runs, Run{Task: task, Before: counts[task], Seen: time.Duration(pick("seen", 1500)) * time.Millisecond})
 	}
 	return w
 }
 
+// drawTask draws one of a few tasks.
 func drawTask(r *rapid.T) job.Task {
 	return job.Task{Job: job.ID(fmt.Sprint(rapid.IntRange(0, 3).Draw(r, "job"))), Index: rapid.IntRange(0, 1).Draw(r, "task")}
 }
 
-// compareKept counts what was lost together with one worker from nothing.
-func compareKept(r *rapid.T, j *Judge, e *event) {
-	if e.refuted {
+// compareWithScratch counts from scratch which workers were lost at the same time as one worker.
+func compareWithScratch(r *rapid.T, d *Judge, e *lossEvent) {
+	if e.stillRuns {
 		return
 	}
 	others, hall, rack := 0, 0, 0
-	for _, o := range j.events {
-		if o != e && !o.with(e) {
+	for _, o := range d.events {
+		if o != e && !o.lostWith(e) {
 			continue
 		}
-		if o != e && !o.suspect {
+		if o != e && !o.hasSuspect {
 			others++
 		}
 		if o.Hall.Name == e.Hall.Name {
@@ -91,9 +94,10 @@
 			rack++
 		}
 	}
-	mustEqual(r, [...]int{e.others, e.hall.lost, e.rack.lost}, [...]int{others, hall, rack})
+	mustEqual(r, [...]int{e.othersLost, e.hall.lost, e.rack.lost}, [...]int{others, hall, rack})
 }
 
+// mustEqual fails the test if an updated count differs from the one from scratch.
 func mustEqual(r *rapid.T, got, want any) {
 	if got != want {
 		r.Fatalf("kept %v, counted anew %v", got, want)
--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -1,8 +1,10 @@
-// Package loss judges what the loss of workers says of the tasks that ran there: a task may crash every worker that starts it, and is
-// given up then, but workers are lost for many other reasons, and no task answers for those. It does no I/O and reads no clock.
+// Package loss detects tasks that crash every worker on which they start, and decides when such a task is
+// failed (crash-looping). Workers are also lost for many other reasons, and those losses must not count
+// against a task. The package does no I/O and reads no clock.
 //
-// Load: it is asked once for each worker that is lost without notice, a few a minute on a calm site and some hundred within seconds when
-// halls are lost; what it keeps is bounded by the losses within Resolved.
+// It is called once for each worker that is lost without an announced departure: a few times a minute
+// normally, and several hundred times within seconds when halls are lost. Its state is limited to the
+// losses within ProvenAfter.
 package loss
 
 import (
@@ -12,137 +14,160 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// Limits of what is counted against a task. The users' rule is that a task may be given up after two crashes and must not be started
-// three times more after three, so that five starts are safe whatever they come to.
+// Limits of the losses counted against a task. The users' rule allows a task to be failed after two
+// crashes, and forbids three more starts after the third crash. Five starts in all are therefore safe,
+// whatever ends them.
 const (
-	// MostAtOnce is how many workers that were lost alone, as soon as a task had begun there, show that it crashes them. Two would show it
-	// a worker sooner; but with 30% of 350 workers crashing every 3 s, six times, 61 sound tasks lost two so and 5 lost three.
-	MostAtOnce = 3
-	// MostCounted is how many workers may be lost in all for which a task may be to blame. With a fifth of the workers crashing three times
-	// within 8 s no sound task lost four.
-	MostCounted = 4
-	// AloneAfter is how many counted losses have a task run alone from then on: the next loss tells then whether it or its neighbours are to blame,
-	// and takes nothing else with it.
+	// MaxImmediateLosses is the number of workers lost alone, right after a task had started there, at
+	// which the task is failed. Two would fail it one worker earlier, but would also fail more sound
+	// tasks: with 30% of 350 workers crashing every 3 s, six times, 61 sound tasks lost two workers that
+	// way and 5 lost three.
+	MaxImmediateLosses = 3
+	// MaxCountedLosses is the number of counted losses at which a task is failed. With a fifth of the
+	// workers crashing three times within 8 s, no sound task lost four.
+	MaxCountedLosses = 4
+	// AloneAfter is the number of counted losses after which a task runs alone on its workers. The next
+	// loss then shows whether the task or another one crashes them, and affects no other task.
 	AloneAfter = 2
-	// MostStarts is how many workers may be lost under a task, for whatever reason, once leastCounted of them count against it, with the starts that count beside them.
-	MostStarts   = 5
-	leastCounted = 2
-	// ChanceMost is how many workers may be expected to be lost by themselves in the time that a run went on for its loss to count. A task may crash its workers however
-	// late; but where a run lasts for longer against the time between two losses of a worker, sound work loses several in a row too.
+	// MaxLossesAndStarts is the number of workers lost under a task for any reason, plus the starts that
+	// count like losses, at which it is failed if at least minCountedLosses of them count.
+	MaxLossesAndStarts = 5
+	// minCountedLosses is the number of counted losses that MaxLossesAndStarts and StartsCount require.
+	minCountedLosses = 2
+	// ChanceMost is the number of workers expected to be lost for other reasons during a run, above which
+	// its loss does not count. A task may crash its workers at any age, but a run that is long compared
+	// with the time between two losses of a worker often loses several in a row although it is sound.
 	ChanceMost = 0.5
-	// ChanceSlight is how many may be expected for more than leastCounted such losses to count, so that the task is given up a worker earlier.
-	ChanceSlight = 0.125
+	// MaxExpectedLossesIfRepeated is the limit that replaces MaxExpectedLosses once minCountedLosses
+	// losses of the task count. Losses below it still count, so that the task is failed one worker earlier
+	// than by MaxLossesAndStarts.
+	MaxExpectedLossesIfRepeated = 0.125
 )
 
 const (
-	// AtOnceWithin is how long a worker may be heard of after a task began there for its loss to count as at once: workers were seen to crash
-	// 10 ms after the start, and work that runs well is heard of again within a look, 1.5 s.
+	// AtOnceWithin is how long after a task's start a worker may be last seen for its loss to count as
+	// immediate. Workers crashed 10 ms after the start, and a worker that runs well is seen again at the
+	// next poll, after 1.5 s.
 	AtOnceWithin = 500 * time.Millisecond
-	// ClearedAfter is how long a worker must be heard of after a task began there to show that the task does not crash it at once.
+	// ClearedAfter is how long after a task's start a worker must be seen to show that the task does not
+	// crash it immediately.
 	ClearedAfter = 4 * AtOnceWithin
-	// CountedWithin is how long a worker may be heard of after a task began there for its loss to count however often workers are lost by themselves.
+	// CountedWithin is how long after a task's start a worker may be last seen for its loss to count
+	// however often workers are lost for other reasons.
 	CountedWithin = 30 * time.Second
-	// Together is how much later than one worker another may be known to be lost that was lost at the same time: those with nothing to do are known to
-	// be lost by their records only, about 5 s (three heartbeats of 1.5 s, and the feed) after those that were being looked at.
-	Together = 8 * time.Second
-	// Resolved is how long a silent worker may still turn out to run on; cuts of up to 16 s were seen.
+	// SimultaneousWindow is the longest time between the detection of two losses that happened at the same
+	// time. The loss of an idle worker is detected only when its record expires, about 5 s (three
+	// heartbeats of 1.5 s, and the feed) after the loss of a worker that is polled.
+	SimultaneousWindow = 8 * time.Second
+	// Resolved is how long an unreachable worker may still turn out to run. Network cuts of up to 16 s
+	// were seen.
 	Resolved = 30 * time.Second
-	// othersLost is how many other workers, on which no task is suspect, must be lost together with one for its loss to be no task's doing.
-	othersLost = 3
-	// groupShare is the share of a hall's or a rack's workers that must be lost together for the hall or rack to be lost.
-	groupShare = 0.5
+	// minOthersLost is the number of other workers without a suspect task that must be lost at the same
+	// time for a loss to be no task's fault.
+	minOthersLost = 3
+	// minGroupShare is the share of the workers of a hall or rack that must be lost together for it to
+	// count as lost.
+	minGroupShare = 0.5
 )
 
 // Run is a run that was lost with its worker.
 type Run struct {
 	Task   job.Task
-	Before job.Losses    // What was counted against its task before.
-	Seen   time.Duration // How long after its start the worker was heard of last.
-	// Adopted says that a predecessor started it, so that its age is not known.
+	Before job.Losses    // Losses counted against its task before this one.
+	Seen   time.Duration // Time from its start until the worker was last seen.
+	// Adopted is set if an earlier leaseholder started the run, so that its age is unknown.
 	Adopted bool
 }
 
-func (r *Run) atOnce() bool { return !r.Adopted && r.Seen <= AtOnceWithin }
+// isImmediate reports whether the worker was lost right after the run's start.
+func (r *Run) isImmediate() bool { return !r.Adopted && r.Seen <= AtOnceWithin }
 
-// Group is the workers that may be lost together: of a hall, or of a rack.
+// Group is a hall or a rack: workers that may be lost together.
 type Group struct {
 	Name string
-	Size int // Workers that are known there, the lost one included.
+	Size int // Number of known workers, including the lost one.
 }
 
-// Worker is a worker that was lost without having said that it would leave.
+// Worker is a worker that was lost without an announced departure. It was lost between the time when it was
+// last seen and the time when a command was unanswered. If no command was, it was lost before the loss was
+// reported.
 type Worker struct {
-	Life    life.ID
+	Life    life.ID // Incarnation that was lost.
 	Address string
 	Hall    Group
 	Rack    Group
-	Heard   time.Time // When it was heard of last: it was lost between then and now, or
-	Missed  time.Time // before this, when it had left orders unanswered after that; zero where it had not.
-	Proven  bool      // Its process has surely ended; otherwise it may be cut off and run on.
-	Runs    []Run
+	Heard   time.Time // Time at which it was last seen.
+	// Time at which a command sent after it was last seen was unanswered; zero if there is none.
+	Missed time.Time
+	Proven bool  // Its process has surely ended; otherwise it may be cut off and still run.
+	Runs   []Run // Runs that were lost with it.
 }
 
-// Charge is a change of what is counted against a task.
+// Charge is a change of the losses counted against a task.
 type Charge struct {
 	Task   job.Task
 	Change job.Losses
-	Why    Why
-	Worker life.ID // The life that was lost.
-	Run    *Run    // The run that was lost with it.
+	Why    Reason
+	Worker life.ID // Incarnation that was lost.
+	Run    *Run    // Run that was lost with it.
 }
 
-// Why is why the loss of a worker counts against a task, or does not.
-type Why int
+// Reason says why the loss of a worker counts against a task, or why it does not.
+type Reason int
 
-// Reasons for which a loss counts, or does not.
+// Reasons.
 const (
-	AtOnce      Why = iota // It counts fully: the task had just begun.
-	Counted                // It counts.
-	BesideOther            // It does not: another job there has more counted against it.
-	ChanceAgain            // It does not: it may be chance, and enough of those count for the task to be given up with its fifth loss.
-	ByChance               // It does not: a worker may well be lost by itself in the time that the task had run.
-	WithGroup              // It does not: most of the hall or rack was lost.
-	WithOthers             // It does not: other workers were lost at the same time.
-	RunsOn                 // It does not: the worker runs on. The start counts where starts do.
-	NeverBegan             // It does not: the run never began there.
+	CountedImmediate Reason = iota // Counts fully: the task had just started.
+	Counted                        // Counts.
+	OtherJobBlamed                 // Does not count: a run of another job there is blamed.
+	// Does not count: it may be chance, and enough such losses count already. The fifth loss fails the task.
+	RepeatedChance
+	LikelyChance // Does not count: a worker may well be lost for other reasons during a run of that length.
+	GroupLost    // Does not count: most of the hall or rack was lost.
+	OthersLost   // Does not count: other workers were lost at the same time.
+	StillRuns    // Does not count: the worker still runs. The start counts if StartsCount reports true.
+	NeverStarted // Does not count: the run never started there.
 )
 
 // String returns the reason for logs.
-func (w Why) String() string {
+func (r Reason) String() string {
 	return [...]string{
 		"it had just begun", "it may have done it", "beside another with more counted against it", "may be chance again", "likely chance", "lost with its hall or rack",
 		"lost with other workers", "the worker runs on", "it never began there",
-	}[w]
+	}[r]
 }
 
-// Verdict is what follows for a task from what is counted against it.
+// Verdict says whether a task may start.
 type Verdict int
 
 // Verdicts.
 const (
 	Free   Verdict = iota // It may start.
-	Held                  // It is not to start until it is known whether silent workers have crashed under it.
-	Guilty                // It is to be given up.
+	Held                  // It must not start until it is known whether unreachable workers crashed under it.
+	Guilty                // It must be failed (crash-looping).
 )
 
-// Weigh returns the verdict for a task by what is counted against it.
-func (j *Judge) Weigh(t job.Task, counted job.Losses, now time.Time) Verdict {
+// Weigh returns the verdict for a task with the given counted losses.
+func (d *Judge) Weigh(t job.Task, counted job.Losses, now time.Time) Verdict {
 	switch {
-	case !over(counted):
+	case !isCrashLooping(counted):
 		return Free
-	case over(counted.Sub(j.Open(t, now))):
+	case isCrashLooping(counted.Sub(d.Open(t, now))):
 		return Guilty
 	}
 	return Held
 }
 
-// startsCount is how many workers lost under a task, of which leastCounted count, make each further start of it count, whatever becomes of that: the users count starts
-// after the third crash, and a run may also end by a stop, or with another member of its gang.
-const startsCount = 3
+// startsCountFrom is the number of workers lost under a task after which each further start counts like a
+// loss, if at least minCountedLosses of the losses count. Starts count however they end, as a run may also
+// end by a stop or with another member of its gang: the users' rule limits the starts after the third
+// crash.
+const startsCountFrom = 3
 
 // StartsCount reports whether a task's further starts count like lost workers.
-func StartsCount(l job.Losses) bool { return l.All >= startsCount && l.Counted >= leastCounted }
+func StartsCount(l job.Losses) bool { return l.All >= startsCountFrom && l.Counted >= minCountedLosses }
 
-func over(l job.Losses) bool {
-	return l.AtOnce >= MostAtOnce || l.Counted >= MostCounted || l.All >= MostStarts && l.Counted >= leastCounted
+// isCrashLooping reports whether the losses are enough to fail a task.
+func isCrashLooping(l job.Losses) bool {
+	return l.AtOnce >= MaxImmediateLosses || l.Counted >= MaxCountedLosses || l.All >= MaxLossesAndStarts && l.Counted >= minCountedLosses
 }
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -34,7 +34,7 @@
 	hasAntiAffinity []bool          // By worker: runs a job that the current demand has anti-affinity to.
 	suitable        []bool          // By worker: may run tasks of the current demand.
 	avoided         []bool          // By worker: the current demand runs there only as a last resort.
-	waitedTooLong   bool            // The current demand has waited too long beside ample capacity.
+	waitedTooLong   bool            // The current demand has waited too long while capacity is ample.
 	runningJobs     map[job.ID]bool // Jobs of which at least one task runs; built on first use.
 	search          search          // Buffers of planPreemption, reused between calls.
 }
@@ -328,7 +328,7 @@
 }
 
 // leavesReserve reports whether a demand must leave the last idle workers to urgent work. Work that can
-// still wait does, unless it has waited too long beside ample capacity.
+// still wait does, unless it has waited too long while capacity is ample.
 func (pl *planner) leavesReserve(d *Demand) bool {
 	if d.Priority == 0 || pl.mayPreemptNow(d) || pl.waitedTooLong {
 		return false
--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -43,7 +43,7 @@
 }
 
 // placeOnReserved starts a gang on capacity reserved without preemption for gangs that are served later.
-// Other work may do so once it has waited too long beside ample capacity. With every gang limited to its
+// Other work may do so once it has waited too long while capacity is ample. With every gang limited to its
 // own reservation, a dozen gangs waited 10 to 40 s for the last few of their workers, while 160 to 330 of
 // their tasks would have fitted into all reservations together.
 func (pl *planner) placeOnReserved(i int) bool {
@@ -77,8 +77,8 @@
 }
 
 // usableReservations returns the demands whose reservations without preemption may be used by the current
-// demand: those served later, and also those served before if the current demand has waited too long beside
-// ample capacity.
+// demand: those served later, and also those served before if the current demand has waited too long while
+// capacity is ample.
 func (pl *planner) usableReservations() []int {
 	var usable []int
 	for j := range pl.view.Demands {
--- a/internal/placement/layout.go
+++ b/internal/placement/layout.go
@@ -9,7 +9,7 @@
 )
 
 // consider makes a demand the current one: it computes which workers are suitable for it. Workers to avoid
-// become suitable once the demand has waited too long beside ample capacity. Without that, a task that had
+// become suitable once the demand has waited too long while capacity is ample. Without that, a task that had
 // failed on the only worker with its label was never retried, and one that must run alone waited for 3 s.
 func (pl *planner) consider(d *Demand) {
 	for k := range pl.view.Workers {
@@ -18,7 +18,7 @@
 		pl.avoided[k] = pl.suitable[k] && (d.Avoid[w.ID] || pl.needsIsolation(d, k))
 		pl.hasAntiAffinity[k] = len(d.Apart) > 0 && pl.runsAntiAffine(d, k)
 	}
-	if pl.waitedTooLong = pl.waitedBesideAmpleCapacity(d); pl.waitedTooLong {
+	if pl.waitedTooLong = pl.exceedsAmpleCapacityWait(d); pl.waitedTooLong {
 		return
 	}
 	retry := pl.mayRetryOnAvoided(d)
--- a/internal/placement/patience.go
+++ b/internal/placement/patience.go
@@ -41,8 +41,8 @@
 }
 
 // mustCrossRacks reports whether a gang must run slowly across several racks instead of waiting for one.
-// Guaranteed work must when its start limit is close, other work when it has waited too long beside ample
-// capacity.
+// Guaranteed work must when its start limit is close, other work when it has waited too long while capacity is
+// ample.
 func (pl *planner) mustCrossRacks(d *Demand) bool {
 	if d.Covered {
 		return pl.view.Now.Sub(d.Since) >= pl.rackWaitLimit()
@@ -51,11 +51,11 @@
 }
 
 // ampleCapacityWaitLimit is how long work waits for a better place while capacity is ample. It is below the
-// 3 s after which work must not be left waiting beside idle workers.
+// 3 s after which work must not be left waiting while workers are idle.
 const ampleCapacityWaitLimit = 2 * time.Second
 
-// waitedBesideAmpleCapacity reports whether a demand has waited too long beside ample capacity.
-func (pl *planner) waitedBesideAmpleCapacity(d *Demand) bool {
+// exceedsAmpleCapacityWait reports whether a demand has waited too long while capacity is ample.
+func (pl *planner) exceedsAmpleCapacityWait(d *Demand) bool {
 	return pl.view.Now.Sub(d.Since) >= ampleCapacityWaitLimit && pl.hasAmpleCapacity(d)
 }
 
@@ -75,7 +75,7 @@
 	return fitting >= need && free > total/2
 }
 
-// minTasksToStart returns how many tasks of a demand must not wait beside ample capacity. If nothing of a
+// minTasksToStart returns how many tasks of a demand must not wait while capacity is ample. If nothing of a
 // job runs yet, one single task is enough.
 func (pl *planner) minTasksToStart(d *Demand) int {
 	if d.Step.Gang || pl.isRunning(d.Job) {
