--- a/internal/loss/kept_test.go
+++ b/internal/loss/kept_test.go
@@ -45,7 +45,7 @@
 			}
 		}
 		for task, l := range wanted {
-			if len(d.events) > 0 && now.Sub(d.events[0].at) < Resolved {
+			if len(d.events) > 0 && now.Sub(d.events[0].at) < Resolved { // No loss has been dropped yet.
 				mustEqual(r, counts[task], l)
 			}
 		}
--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -88,16 +88,15 @@
 	Size int // Number of known workers, including the lost one.
 }
 
-// Worker is a worker that was lost without an announced departure. It was lost between the time when it was
-// last seen and the time when a command was unanswered. If no command was, it was lost before the loss was
-// reported.
+// Worker is a worker that was lost without an announced departure. It was lost after it was last seen, and before
+// it left a command unanswered. If it was sent no command, it was lost before the loss was reported.
 type Worker struct {
 	Life    life.ID // Incarnation that was lost.
 	Address string
 	Hall    Group
 	Rack    Group
 	Heard   time.Time // Time at which it was last seen.
-	// Time at which a command sent after it was last seen was unanswered; zero if there is none.
+	// Time by which it had left a command unanswered, after it was last seen; zero if it had not.
 	Missed time.Time
 	Proven bool  // Its process has surely ended; otherwise it may be cut off and still run.
 	Runs   []Run // Runs that were lost with it.
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -92,7 +92,7 @@
 	Loss      float64       // Core-seconds of work that a stop throws away.
 	Risk      float64       // Value at risk from a restart.
 	Remaining time.Duration // Expected time to its end.
-	Known     bool          // Remaining follows from progress that workers reported, not from declared run times.
+	Known     bool          // Remaining comes from reported progress, not from declared run times.
 }
 
 // Start says on which workers tasks of a demand start.
