--- a/internal/loss/kept_test.go
+++ b/internal/loss/kept_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestUpdatedCountsEqualCountsFromScratch compares the counts that are updated with each event with counts
+// TestKeptCountsEqualThoseCountedAnew compares the counts that are updated with each event with counts
 // from scratch. It draws losses and returns of workers and runs that never started, and fails if an update
 // misses an event.
-func TestUpdatedCountsEqualCountsFromScratch(t *testing.T) {
+func TestKeptCountsEqualThoseCountedAnew(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var d Judge
 		counts := map[job.Task]job.Losses{}
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestIncrementalPlansEqualPlansFromScratch compares preemption plans, which are computed with cached sums,
+// TestPlansEqualThoseReckonedAnew compares preemption plans, which are computed with cached sums,
 // with plans that are computed from scratch for each choice. It fails if a cached sum is stale after a
 // choice.
-func TestIncrementalPlansEqualPlansFromScratch(t *testing.T) {
+func TestPlansEqualThoseReckonedAnew(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		v := drawView(r)
 		pl := newPlanner(v)
--- a/internal/placement/waits_test.go
+++ b/internal/placement/waits_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestNoDemandWaitsWhileCapacityIsAmple checks that work does not wait while capacity is ample for longer than
+// TestNothingWaitsBesideRoom checks that work does not wait while capacity is ample for longer than
 // the limit. Work that waited for capacity near its data, for a rack, for other workers, for the reserve or
 // for reserved capacity was left waiting for up to a quarter of the time to its goal, or for ever:
 //
@@ -18,7 +18,7 @@
 // The test draws sites and demands that have waited for the limit. Something of the demand must start if
 // there is capacity for two of its tasks, or for the gang twice, and less than half of the service is in
 // use.
-func TestNoDemandWaitsWhileCapacityIsAmple(t *testing.T) {
+func TestNothingWaitsBesideRoom(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		v := drawWaiting(r)
 		if !hasAmpleCapacity(v, &v.Demands[0]) {
