--- a/internal/awake/awake.go
+++ b/internal/awake/awake.go
@@ -1,27 +1,31 @@
-// Package awake tells for how long the machine has been suspended. The runtime's clock doesn't count that time: a process that wakes takes all that it knows for
-// as fresh as before, while leases ran out and others took over.
+// Package awake measures for how long the machine has been suspended. Go's monotonic clock does not count that time:
+// after a resume, a process would treat its data as fresh, although its leases have expired and other boxes took over.
 package awake
 
 import "time"
 
-// Slept is how long the machine has been suspended since it started, 0 where the system doesn't tell. It only ever grows, and steps of the time of day don't change it.
-func Slept() time.Duration { return slept() }
+// Slept returns how long the machine has been suspended since it booted, or 0 where the system does not report it.
+// The value never decreases, and changes of the wall clock do not affect it.
+func Slept() time.Duration { return suspended() }
 
-// precise is how close to each other clocks are read at least, in a few tries: a process that stood still between the readings must not look like a suspension.
+// Limits for comparing the clocks. A process that is paused between two readings must not look like a suspended
+// machine, so the readings are repeated until they lie close together.
 const (
-	precise = 100 * time.Microsecond
-	tries   = 5
+	maxReadingGap = 100 * time.Microsecond // Longest time between the readings of a precise comparison.
+	maxTries      = 5
 )
 
-// between is how far a clock that counts suspensions is ahead of one that doesn't. It is read between two readings of the other one, and never told as more than it is.
-func between(awake, all func() time.Duration) time.Duration {
-	most := time.Duration(0)
-	for range tries {
-		before, counted, after := awake(), all(), awake()
-		most = max(most, counted-after)
-		if after-before <= precise {
+// clockOffset returns how far the clock boottime, which counts suspended time, is ahead of monotonic, which does not.
+// It reads boottime between two readings of monotonic. A pause of the process can make the result too small,
+// never too large.
+func clockOffset(monotonic, boottime func() time.Duration) time.Duration {
+	offset := time.Duration(0)
+	for range maxTries {
+		before, total, after := monotonic(), boottime(), monotonic()
+		offset = max(offset, total-after)
+		if after-before <= maxReadingGap {
 			break
 		}
 	}
-	return most
+	return offset
 }
--- a/internal/awake/awake_linux.go
+++ b/internal/awake/awake_linux.go
@@ -6,11 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-func slept() time.Duration {
-	return between(clock(unix.CLOCK_MONOTONIC), clock(unix.CLOCK_BOOTTIME))
+// suspended returns how far CLOCK_BOOTTIME, which counts suspended time, is ahead of CLOCK_MONOTONIC.
+func suspended() time.Duration {
+	return clockOffset(clock(unix.CLOCK_MONOTONIC), clock(unix.CLOCK_BOOTTIME))
 }
 
-// clock reads one of the system's clocks; one that it doesn't have shows 0, so that nothing is told of suspensions.
+// clock returns a function that reads a system clock. It reads 0 if the system does not have the clock,
+// so that no suspension is reported.
 func clock(id int32) func() time.Duration {
 	return func() time.Duration {
 		var t unix.Timespec
--- a/internal/awake/awake_other.go
+++ b/internal/awake/awake_other.go
@@ -4,4 +4,5 @@
 
 import "time"
 
-func slept() time.Duration { return 0 }
+// suspended returns 0: suspended time is only known on Linux.
+func suspended() time.Duration { return 0 }
--- a/internal/awake/awake_test.go
+++ b/internal/awake/awake_test.go
@@ -7,31 +7,33 @@
 	"github.com/frankban/quicktest"
 )
 
-// clocks is a machine's clocks; a reading takes as long as is next.
+// clocks simulates the clocks of a machine.
 type clocks struct {
-	awake, slept time.Duration
-	readings     []time.Duration
+	monotonic, suspended time.Duration
+	delays               []time.Duration // Time that passes before each of the next readings.
 }
 
-func (c *clocks) read(clock time.Duration) time.Duration {
-	if len(c.readings) > 0 {
-		c.awake += c.readings[0]
-		c.readings = c.readings[1:]
+// read returns the reading of a clock that is ahead of the monotonic clock by ahead.
+func (c *clocks) read(ahead time.Duration) time.Duration {
+	if len(c.delays) > 0 {
+		c.monotonic += c.delays[0]
+		c.delays = c.delays[1:]
 	}
-	return c.awake + clock
+	return c.monotonic + ahead
 }
 
-func (c *clocks) between() time.Duration {
-	return between(func() time.Duration { return c.read(0) }, func() time.Duration { return c.read(c.slept) })
+func (c *clocks) offset() time.Duration {
+	return clockOffset(func() time.Duration { return c.read(0) }, func() time.Duration { return c.read(c.suspended) })
 }
 
-// TestAStandstillIsNoSuspension: a process that stands still between two readings of the clocks, on a busy machine, has not been suspended, and a suspension is told in full all the same.
-func TestAStandstillIsNoSuspension(t *testing.T) {
+// TestPausedProcessIsNotSuspension guards against a false suspension: on a busy machine, the process may be paused
+// between two readings of the clocks. A real suspension must still be reported in full.
+func TestPausedProcessIsNotSuspension(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
-		name     string
-		slept    time.Duration
-		readings []time.Duration
+		name      string
+		suspended time.Duration
+		delays    []time.Duration
 	}{
 		{"never suspended", 0, nil},
 		{"suspended", 5 * time.Second, nil},
@@ -40,13 +42,14 @@
 		{"stands still before the third reading", 5 * time.Second, []time.Duration{0, 0, 80 * ms}},
 		{"stands still again and again", 5 * time.Second, []time.Duration{0, 80 * ms, 0, 0, 0, 80 * ms, 0, 80 * ms, 80 * ms}},
 	} {
-		x := &clocks{awake: time.Hour, slept: c.slept, readings: c.readings}
-		quicktest.Check(t, x.between(), quicktest.Equals, c.slept, quicktest.Commentf(c.name))
+		x := &clocks{monotonic: time.Hour, suspended: c.suspended, delays: c.delays}
+		quicktest.Check(t, x.offset(), quicktest.Equals, c.suspended, quicktest.Commentf(c.name))
 	}
 }
 
-// TestSleptIsSteady: this machine is not suspended during the test.
-func TestSleptIsSteady(t *testing.T) {
+// TestSuspendedTimeStaysConstant reads the real clocks. The machine is assumed not to be suspended during the test,
+// so successive values must differ by less than a millisecond.
+func TestSuspendedTimeStaysConstant(t *testing.T) {
 	before := Slept()
 	for range 1000 {
 		now := Slept()
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,4 +1,5 @@
-// Package logline reads the JSON lines that boxes write, and puts those about one job or task into one order.
+// Package logline reads the JSON log lines of boxes and workers, and selects the lines about one job or task
+// in order of time.
 package logline
 
 import (
@@ -15,35 +16,37 @@
 	"github.com/pkg/errors"
 )
 
-// Line is one line of a log.
+// Line is one parsed log line.
 type Line struct {
 	At     time.Time
-	Source string // The box, or the worker, that wrote it.
-	Text   string
-	Fields map[string]any // All others.
+	Source string         // Name of the box or worker that wrote the line.
+	Text   string         // Message of a box or event of a worker.
+	Fields map[string]any // All other fields of the line.
 }
 
-// longest is the longest line that is read.
-const longest = 1 << 20
+// maxLineBytes is the length of the longest line that Read accepts, in bytes.
+const maxLineBytes = 1 << 20
 
-// Read reads a log. What is no JSON line, such as a stack trace, is left out and counted.
+// Read parses a log. It skips lines that are not JSON, such as those of a stack trace, and returns their number.
+// A line longer than maxLineBytes is an error.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longest)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		if l, ok := parse(scanner.Bytes()); ok {
+		if l, ok := parseLine(scanner.Bytes()); ok {
 			lines = append(lines, l)
 		} else {
 			skipped++
 		}
 	}
-	return lines, skipped, errors.Wrap(scanner.Err(), "logline: unable to read a log")
+	return lines, skipped, errors.Wrap(scanner.Err(), "logline: unable to read the log")
 }
 
-// parse reads a line of a box, or of a worker of the rig, which names time, text and source otherwise.
-func parse(raw []byte) (Line, bool) {
+// parseLine parses a log line of a box or of a worker of the test rig. The two use different keys for the time,
+// the text and the source. It reports whether the line is a JSON object with a valid time.
+func parseLine(raw []byte) (Line, bool) {
 	fields, decoder := map[string]any{}, json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // Times in milliseconds are read as they stand.
+	decoder.UseNumber() // Keeps large numbers, such as times in milliseconds, as written.
 	if decoder.Decode(&fields) != nil || decoder.More() {
 		return Line{}, false
 	}
@@ -60,7 +63,7 @@
 	return Line{At: at, Source: take("box", "worker"), Text: take("msg", "event"), Fields: fields}, err == nil
 }
 
-// String is the line for people.
+// String returns the line in readable form: time of day, source, text and the other fields sorted by key.
 func (l *Line) String() string {
 	text := l.At.Format("15:04:05.000000") + " " + l.Source + " " + l.Text
 	for _, key := range slices.Sorted(maps.Keys(l.Fields)) {
@@ -76,8 +79,9 @@
 	return text
 }
 
-// names reports whether a line is about a job or task: of a job also what is about its tasks, of a task also what is about its job.
-func (l *Line) names(id string) bool {
+// mentions reports whether a field of the line names the job or task id.
+// For a job, lines that name one of its tasks count too; for a task, lines that name its job.
+func (l *Line) mentions(id string) bool {
 	job, _, _ := strings.Cut(id, ".")
 	for _, value := range l.Fields {
 		if text, ok := value.(string); ok && (text == id || text == job || strings.HasPrefix(text, id+".")) {
@@ -87,17 +91,17 @@
 	return false
 }
 
-// changes are the texts of lines that tell who schedules.
-var changes = []string{"scheduler: took over", "node: lease claimed", "node: lease over", "scheduler: gave the lease back", "node: start", "node: stopping"}
+// leaseChanges holds the texts of log lines that show which box schedules: boxes that start or stop, and lease changes.
+var leaseChanges = []string{"scheduler: took over", "node: lease claimed", "node: lease over", "scheduler: gave the lease back", "node: start", "node: stopping"}
 
-// About selects the lines about a job or task, with the warnings of the workers that these name and the changes of the box that schedules
-// in that time, in the order of time.
+// About returns the lines about a job or task in order of time. Between the first and the last of them, it adds the
+// warnings about workers that these lines name, and the lines that show which box schedules.
 func About(id string, lines []Line) []Line {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	first, last, workers := len(lines), -1, map[string]bool{}
 	for i := range lines {
-		if !lines[i].names(id) {
+		if !lines[i].mentions(id) {
 			continue
 		}
 		first, last = min(first, i), i
@@ -107,14 +111,14 @@
 	for i := first; i <= last; i++ {
 		l := &lines[i]
 		warning := l.Fields["level"] == "warn" && l.worker() != "" && workers[l.worker()]
-		if l.names(id) || warning || slices.Contains(changes, l.Text) {
+		if l.mentions(id) || warning || slices.Contains(leaseChanges, l.Text) {
 			about = append(about, *l)
 		}
 	}
 	return about
 }
 
-// worker is the worker that a line of a box names, empty for none.
+// worker returns the worker that a box's line names, or an empty string.
 func (l *Line) worker() string {
 	name, _ := l.Fields["worker"].(string)
 	return name
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -8,7 +8,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestAbout reads its cases from testdata/about.txt: logs of two boxes and a worker, and the time lines of jobs and tasks from them.
+// TestAbout reads its cases from testdata/about.txt: the logs of two boxes and a worker,
+// followed by the lines expected for each job or task.
 func TestAbout(t *testing.T) {
 	raw, err := os.ReadFile("testdata/about.txt")
 	quicktest.Assert(t, err, quicktest.IsNil)
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever making the writer wait: lines go through a bounded buffer, and those that
-// find it full are dropped and counted.
+// Package logsink writes log lines without blocking the caller. Lines pass through a bounded buffer;
+// lines that arrive while the buffer is full are dropped and counted.
 package logsink
 
 import (
@@ -12,23 +12,24 @@
 	"go.uber.org/zap"
 )
 
-// bufferedLines bounds the lines that wait to be written, about 300 bytes each.
+// bufferedLines is the maximum number of lines that wait to be written; a line has about 300 bytes.
 const bufferedLines = 4096
 
-// Sink is a zapcore.WriteSyncer. Make it with New.
+// Sink is a zapcore.WriteSyncer that writes in the background. Create it with New.
 type Sink struct {
-	lines   chan []byte
-	dropped atomic.Int64
+	lines   chan []byte  // Lines waiting to be written.
+	dropped atomic.Int64 // Lines dropped since the last report in the log.
 	done    sync.WaitGroup
 }
 
-// New returns a sink that writes to out until it is closed.
+// New returns a sink that writes to out until Close is called.
 func New(out io.Writer) *Sink {
 	s := &Sink{lines: make(chan []byte, bufferedLines)}
 	s.done.Go(func() { s.run(out) })
 	return s
 }
 
+// run writes the buffered lines to out. After dropped lines it first writes a warning with their number.
 func (s *Sink) run(out io.Writer) {
 	for line := range s.lines {
 		if n := s.dropped.Swap(0); n > 0 {
@@ -36,12 +37,12 @@
 				time.Now().Format(time.RFC3339Nano), n)
 		}
 		if _, err := out.Write(line); err != nil {
-			return // Nobody reads the log any more; the lines that follow are dropped.
+			return // The output is closed or broken: all later lines are dropped.
 		}
 	}
 }
 
-// Write implements io.Writer; it never waits and never fails.
+// Write implements io.Writer. It never blocks and never returns an error; it drops the line if the buffer is full.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), line...):
@@ -51,17 +52,17 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; the lines are on their way.
+// Sync implements zapcore.WriteSyncer. It does nothing: buffered lines are written in the background.
 func (s *Sink) Sync() error { return nil }
 
-// Close writes what waits. Nothing may be written after it.
+// Close writes the buffered lines and stops the sink. Write must not be called after Close.
 func (s *Sink) Close() {
 	close(s.lines)
 	s.done.Wait()
 }
 
-// Error is a field with an error's text alone: zap would add the stack that the error was made at, which is no use to
-// operators and ten times as long.
+// Error returns a log field "error" with the text of err, or an empty field for a nil error. zap.Error would also log
+// the stack trace of the error, which is ten times as long and of no use to operators.
 func Error(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -9,7 +9,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// gatedWriter holds every write until it is opened.
+// gatedWriter blocks every write until the channel open is closed.
 type gatedWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
@@ -24,7 +24,9 @@
 	return g.text.Write(line)
 }
 
-func TestWriterNeverWaitsAndDropsAreTold(t *testing.T) {
+// A slow or blocked log output must not block the code that logs.
+// The log must say that lines were dropped, and the buffered lines must not be lost.
+func TestWriteNeverBlocksAndReportsDroppedLines(t *testing.T) {
 	out := &gatedWriter{open: make(chan struct{})}
 	s := New(out)
 	for range 2 * bufferedLines {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,4 +1,4 @@
-// Package measure counts and times what a box does, and serves the figures as text.
+// Package measure keeps the counters, gauges and duration histograms of a box and serves them as text over HTTP.
 package measure
 
 import (
@@ -10,13 +10,14 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Sizes of the samples behind the quantiles: small, as boxes have little memory.
+// Parameters of the sampled histograms. The samples are small because boxes have little memory.
 const (
-	sampleSize  = 256
-	sampleDecay = 0.015 // The library's own figure: it weighs the last five minutes.
+	sampleSize  = 256   // Durations kept per histogram.
+	sampleDecay = 0.015 // go-metrics' recommended value: favors the last five minutes.
 )
 
-// Figures is a set of counters and histograms by name. The zero value is empty and ready to use; a nil one takes nothing.
+// Figures is a set of counters, gauges and histograms by name. The zero value is empty and ready to use.
+// The methods that record a value do nothing on a nil pointer; the methods that read need a non-nil one.
 type Figures struct {
 	once     sync.Once
 	registry metrics.Registry
@@ -24,10 +25,10 @@
 
 func (f *Figures) init() { f.once.Do(func() { f.registry = metrics.NewRegistry() }) }
 
-// Count adds one to a counter.
+// Count increments the named counter by one.
 func (f *Figures) Count(name string) { f.Add(name, 1) }
 
-// Add adds to a counter.
+// Add increments the named counter by n.
 func (f *Figures) Add(name string, n int64) {
 	if f == nil {
 		return
@@ -36,13 +37,13 @@
 	metrics.GetOrRegisterCounter(name, f.registry).Inc(n)
 }
 
-// Counted returns a counter, 0 for one that nothing was added to.
+// Counted returns the value of the named counter, 0 if it was never incremented.
 func (f *Figures) Counted(name string) int64 {
 	f.init()
 	return metrics.GetOrRegisterCounter(name, f.registry).Count()
 }
 
-// Set sets a gauge.
+// Set sets the named gauge to n.
 func (f *Figures) Set(name string, n int64) {
 	if f == nil {
 		return
@@ -51,7 +52,7 @@
 	metrics.GetOrRegisterGauge(name, f.registry).Update(n)
 }
 
-// Took adds a time to a histogram, in microseconds.
+// Took adds a duration to the histogram called name+"_us", in microseconds.
 func (f *Figures) Took(name string, d time.Duration) {
 	if f == nil {
 		return
@@ -62,22 +63,23 @@
 	}).(metrics.Histogram).Update(d.Microseconds())
 }
 
-// ServeHTTP writes all figures as text, sorted by name.
+// ServeHTTP writes all metrics as plain text, sorted by name.
 func (f *Figures) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	f.init()
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	metrics.WriteOnce(f.registry, w)
 }
 
-// Counters returns the counters whose names begin with a prefix, by the rest of their names.
+// Counters returns the values of the counters whose names begin with prefix.
+// The keys are the names without the prefix.
 func (f *Figures) Counters(prefix string) map[string]int64 {
 	f.init()
-	found := map[string]int64{}
+	values := map[string]int64{}
 	f.registry.Each(func(name string, metric any) {
-		rest, named := strings.CutPrefix(name, prefix)
-		if counter, ok := metric.(metrics.Counter); ok && named {
-			found[rest] = counter.Count()
+		suffix, matches := strings.CutPrefix(name, prefix)
+		if counter, ok := metric.(metrics.Counter); ok && matches {
+			values[suffix] = counter.Count()
 		}
 	})
-	return found
+	return values
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -9,7 +9,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestFiguresAreServedAsText(t *testing.T) {
+func TestServeHTTPWritesMetricsAsText(t *testing.T) {
 	var f Figures
 	f.Count("submitted")
 	f.Add("submitted", 2)
@@ -21,6 +21,7 @@
 	quicktest.Assert(t, text, quicktest.Contains, "histogram submit_us count: 1 min: 1500")
 }
 
+// Counters must leave out counters with another name and histograms with the same prefix.
 func TestCountersByPrefix(t *testing.T) {
 	var f Figures
 	f.Add("store_direct_read_lease", 3)
@@ -29,7 +30,8 @@
 	quicktest.Assert(t, f.Counters("store_direct_"), quicktest.DeepEquals, map[string]int64{"read_lease": 3})
 }
 
-func TestNilTakesNothing(_ *testing.T) {
+// Recording on a nil pointer must not panic: components without metrics leave the pointer nil.
+func TestRecordingOnNilDoesNothing(_ *testing.T) {
 	var f *Figures
 	f.Count("a")
 	f.Took("a", time.Second)
--- a/internal/object/object.go
+++ b/internal/object/object.go
@@ -1,4 +1,4 @@
-// Package object is the platform's object store as the boxes see it; large answers and checkpoints are kept there.
+// Package object accesses the platform's object store, which holds large answers and checkpoints.
 package object
 
 import (
@@ -11,31 +11,31 @@
 	"github.com/pulleyring/pulleyring/internal/wire"
 )
 
-// ErrAbsent says that there is no such object.
+// ErrAbsent is returned for an object that does not exist.
 var ErrAbsent = errors.New("object: absent")
 
-// maxBytes bounds one object.
-const maxBytes = 64 << 20
+// maxObjectBytes is the maximum number of bytes that Get reads of an object; the rest is cut off.
+const maxObjectBytes = 64 << 20
 
-// Store is the object store; implementations are the HTTP client and the stand-in.
+// Store is an object store. Client implements it over HTTP; the stand-in platform implements it for tests.
 type Store interface {
-	// Put writes an object whole; writing the same again changes nothing.
+	// Put writes a whole object. Writing the same bytes again has no effect.
 	Put(ctx context.Context, key string, raw []byte) error
-	// Get returns an object or ErrAbsent.
+	// Get returns an object, or ErrAbsent if it does not exist.
 	Get(ctx context.Context, key string) ([]byte, error)
 }
 
-// PutLarge keeps an answer that is larger than what a row takes in the store and returns its key, or an empty key
-// where it stays in the row.
-func PutLarge(ctx context.Context, s Store, owner string, answer []byte, inRow int) (key string, err error) {
-	if len(answer) <= inRow {
+// PutLarge stores an answer of more than maxRowBytes bytes and returns its key. It returns an empty key for a smaller
+// answer, which the caller keeps in the table row.
+func PutLarge(ctx context.Context, s Store, owner string, answer []byte, maxRowBytes int) (key string, err error) {
+	if len(answer) <= maxRowBytes {
 		return "", nil
 	}
 	key = "answer/" + owner
 	return key, s.Put(ctx, key, answer)
 }
 
-// Client speaks to the object store over HTTP.
+// Client is a Store that accesses the object store over HTTP.
 type Client struct {
 	Base string // Base URL, http://IP:port.
 	HTTP *http.Client
@@ -67,6 +67,6 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("object: status %d", resp.StatusCode)
 	}
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxObjectBytes))
 	return raw, errors.Wrap(err, "object: unable to read")
 }
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -1,4 +1,4 @@
-// Package script reads the data files of tests.
+// Package script reads test cases from text files and runs them.
 package script
 
 import (
@@ -10,13 +10,14 @@
 	"github.com/frankban/quicktest"
 )
 
-// Case is a case of a test as its data file tells it: its lines, each as words.
+// Case is one test case of a file.
 type Case struct {
 	Name  string
-	Lines [][]string
+	Lines [][]string // Lines of the case, each split into words.
 }
 
-// Cases reads a file of cases. Each begins with a line "case NAME"; empty lines, and those that begin with the word #, are left out.
+// Cases reads the test cases of a file. Each case begins with a line "case NAME".
+// Empty lines and lines whose first word is # are skipped. A file that can't be read fails the test.
 func Cases(t *testing.T, file string) []Case {
 	f, err := os.Open(file)
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -39,7 +40,7 @@
 	return cases
 }
 
-// Run runs each case as a test of its own: step carries out a line.
+// Run runs the case as a subtest. It calls step for each line, and fails the test at the first error.
 func (c *Case) Run(t *testing.T, step func(words []string) error) {
 	t.Run(c.Name, func(t *testing.T) {
 		for _, words := range c.Lines {
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,4 +1,4 @@
-// Package timeline records what happens in a box as events that can be merged over all boxes in the order of cause.
+// Package timeline records events of a box. The events of all boxes can be merged into one causal order.
 package timeline
 
 import (
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Stamp is a reading of a hybrid logical clock: wall time that never runs backwards past a cause, and a count for
-// events within one reading.
+// Stamp is a timestamp of a hybrid logical clock: the wall time, and a counter for events that share one wall time.
+// The stamp of an event is always greater than the stamps of its causes.
 type Stamp struct {
 	Wall  int64  `json:"wall" cbor:"1,keyasint"` // Unix nanoseconds.
 	Count uint32 `json:"count" cbor:"2,keyasint"`
 }
 
-// Compare orders stamps.
+// Compare returns -1, 0 or +1, as s is before, equal to or after o.
 func (s Stamp) Compare(o Stamp) int {
 	return cmp.Or(cmp.Compare(s.Wall, o.Wall), cmp.Compare(s.Count, o.Count))
 }
@@ -27,7 +27,7 @@
 	last Stamp
 }
 
-// Now returns a stamp after every stamp returned or observed before.
+// Now returns a stamp that is greater than every stamp returned or observed before.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,7 +40,7 @@
 	return c.last
 }
 
-// Observe makes later stamps of this clock come after one that arrived from elsewhere.
+// Observe records a stamp received from another box, so that all later stamps of this clock are greater.
 func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,50 +49,51 @@
 	}
 }
 
-// Event is one thing that happened in one box.
+// Event is one recorded event of a box.
 type Event struct {
 	Stamp   Stamp  `json:"stamp"`
 	Box     string `json:"box"`
-	Part    string `json:"part"` // Part of the box, such as hall or settlement.
+	Part    string `json:"part"` // Component of the box, such as hall or settlement.
 	Hall    string `json:"hall,omitempty"`
-	Job     string `json:"job,omitempty"` // Caller and id of the job or request.
+	Job     string `json:"job,omitempty"` // Identity of the job or request, as caller/id.
 	Attempt string `json:"attempt,omitempty"`
 	Text    string `json:"text"`
 }
 
-// Recorder keeps the latest events of a box in bounded memory.
+// Recorder keeps the latest events of a box in a ring buffer.
 type Recorder struct {
 	Clock Clock
 	Box   string
-	Most  int // Events kept; 0 means a thousand.
+	Most  int // Maximum number of events kept; 0 means 1000.
 
 	mu     sync.Mutex
 	events []Event
-	next   int
+	next   int // Index of the oldest event, overwritten next when the buffer is full.
 }
 
-// defaultMost is the number of events that a zero Recorder keeps.
-const defaultMost = 1000
+// defaultMaxEvents is the maximum number of events of a Recorder that sets none.
+const defaultMaxEvents = 1000
 
-// Add stamps an event and keeps it.
+// Add sets the event's box and stamp and stores it. When the recorder is full, it overwrites the oldest event.
 func (r *Recorder) Add(e Event) {
 	e.Box = r.Box
 	e.Stamp = r.Clock.Now()
-	most := r.Most
-	if most == 0 {
-		most = defaultMost
+	limit := r.Most
+	if limit == 0 {
+		limit = defaultMaxEvents
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.events) < most {
+	if len(r.events) < limit {
 		r.events = append(r.events, e)
 		return
 	}
 	r.events[r.next] = e
-	r.next = (r.next + 1) % most
+	r.next = (r.next + 1) % limit
 }
 
-// Events returns the events kept, oldest first; a job that is not empty leaves the others out.
+// Events returns the stored events, oldest first. If job is not empty, it returns only the events of that job;
+// job is an id or caller/id.
 func (r *Recorder) Events(job string) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +106,7 @@
 	return Merge(list)
 }
 
-// Merge puts the events of several boxes into one order.
+// Merge returns the events of several boxes, ordered by stamp and then by box name.
 func Merge(lists ...[]Event) []Event {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, func(a, b Event) int { return cmp.Or(a.Stamp.Compare(b.Stamp), cmp.Compare(a.Box, b.Box)) })
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire sends JSON over HTTP to the platform's parts; the adapters of the boxes share it.
+// Package wire sends JSON requests to the platform's services over HTTP and writes JSON replies.
+// The platform clients of the boxes share it.
 package wire
 
 import (
@@ -13,23 +14,23 @@
 	"github.com/pkg/errors"
 )
 
-// maxReplyBytes bounds what is read of one reply.
+// maxReplyBytes is the maximum number of bytes read from a reply.
 const maxReplyBytes = 16 << 20
 
-// maxTextBytes bounds the part of a refusal that is kept as text.
-const maxTextBytes = 64 << 10
+// maxErrorBytes is the maximum number of bytes of an error reply that StatusError.Text keeps.
+const maxErrorBytes = 64 << 10
 
-// StatusError is a reply with a status other than 200.
+// StatusError is the error for a reply with a status other than 200.
 type StatusError struct {
 	Status int
-	Text   string
+	Text   string // Start of the reply's body.
 }
 
-// Error returns the status and the text.
+// Error returns the status and the text of the reply.
 func (e *StatusError) Error() string { return fmt.Sprintf("wire: status %d: %s", e.Status, e.Text) }
 
-// Post sends body as JSON and decodes the reply into reply where it is not nil.
-// The error is a *StatusError where the other side answered with a status other than 200.
+// Post sends body as JSON and decodes the JSON reply into reply, unless reply is nil.
+// The error is a *StatusError if the server replies with a status other than 200.
 func Post(ctx context.Context, client *http.Client, url string, body, reply any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -43,7 +44,8 @@
 	return Do(client, req, reply)
 }
 
-// Get fetches a JSON document.
+// Get fetches a JSON document and decodes it into reply, unless reply is nil.
+// The error is a *StatusError if the server replies with a status other than 200.
 func Get(ctx context.Context, client *http.Client, url string, reply any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -52,7 +54,8 @@
 	return Do(client, req, reply)
 }
 
-// Do sends a request and decodes a 200 reply.
+// Do sends a request and decodes the JSON reply into reply, unless reply is nil.
+// The error is a *StatusError if the server replies with a status other than 200.
 func Do(client *http.Client, req *http.Request, reply any) error {
 	resp, err := client.Do(req)
 	if err != nil {
@@ -64,7 +67,7 @@
 		return errors.Wrap(err, "wire: unable to read the reply")
 	}
 	if resp.StatusCode != http.StatusOK {
-		text := strings.TrimSpace(string(raw[:min(len(raw), maxTextBytes)]))
+		text := strings.TrimSpace(string(raw[:min(len(raw), maxErrorBytes)]))
 		return &StatusError{Status: resp.StatusCode, Text: text}
 	}
 	if reply == nil {
@@ -73,7 +76,7 @@
 	return errors.Wrap(json.Unmarshal(raw, reply), "wire: unable to decode")
 }
 
-// Reply writes a value as JSON with a status.
+// Reply writes value as a JSON response with the given status.
 func Reply(w http.ResponseWriter, status int, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -82,5 +85,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // The other side is gone where this fails.
+	_, _ = w.Write(raw) // An error means that the client closed the connection.
 }
--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller sends requests to boxes: it turns to another box where one does not answer, and counts submissions up
-// so that what it is told stays true.
+// Package caller sends requests to boxes. If a box does not answer, it tries the next one. Each repeated submission
+// of a request has a higher number: only a higher number may replace an outcome that is recorded as not run.
 package caller
 
 import (
@@ -18,118 +18,125 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// Client speaks to the boxes of a site as one caller or operator. Fill in the exported fields before use.
+// Client sends requests to the boxes of a site as one caller or operator. Set the exported fields before use.
 type Client struct {
-	Boxes []string // Base URLs; each call begins at the next one.
-	Key   string
+	Boxes []string // Base URLs of the boxes, used in turn.
+	Key   string   // Secret key, sent as a bearer token.
 	HTTP  *http.Client
 
 	next atomic.Uint64
 }
 
-// Limits of the client.
+// Limits of a client: the size of a reply, and the delay before a request is sent again.
 const (
 	maxReplyBytes = 64 << 20
-	pauseBetween  = 200 * time.Millisecond
+	retryDelay    = 200 * time.Millisecond
 )
 
-// Failure is a reply that is neither an outcome nor an answer to a command.
+// Failure is the error for a reply that refuses the request or can't be understood.
 type Failure struct {
 	Status  int
 	Problem request.Problem
 }
 
-// Error returns the title and the findings.
+// Error returns the title and the findings of the problem.
 func (f *Failure) Error() string { return f.Problem.Error() }
 
-// Submit sends a request and returns what its caller is told; wait is how long the box may hold the reply back for a
-// gang's outcome. Where a box does not answer, the next one is asked under a higher submission number until ctx ends.
+// Submit sends a request and returns the reply. The box may delay the reply by up to wait for the outcome of a gang.
+// If a box does not answer, Submit tries the next one with a higher submission number.
+// If ctx ends before a box answers, the outcome is request.Unresolved.
 func (c *Client) Submit(ctx context.Context, id string, s request.Submission, wait time.Duration) (request.Reply, error) {
 	reply, _, err := c.submit(ctx, id, s, wait, 1)
 	return reply, err
 }
 
-// submit begins with a submission number and returns the last one that it used.
+// submit does the work of Submit, starting at submission number first. It also returns the last number used.
 func (c *Client) submit(ctx context.Context, id string, s request.Submission, wait time.Duration, first int) (request.Reply, int, error) {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return request.Reply{}, first, errors.Wrap(err, "caller: unable to encode")
 	}
-	for round := first; ; round++ {
+	for number := first; ; number++ {
 		header := http.Header{}
 		header.Set("Idempotency-Key", id)
-		header.Set("Pulleyring-Submission", strconv.Itoa(round))
+		header.Set("Pulleyring-Submission", strconv.Itoa(number))
 		setWait(header, wait)
-		reply, err := c.outcome(ctx, http.MethodPost, "/v1/requests", header, raw)
+		reply, err := c.sendForOutcome(ctx, http.MethodPost, "/v1/requests", header, raw)
 		if err == nil || !unanswered(err) {
-			return reply, round, err
+			return reply, number, err
 		}
-		if !pause(ctx) {
-			return request.Reply{ID: id, Outcome: request.Unresolved, Reason: "no box answered"}, round, nil
+		if !waitToRetry(ctx) {
+			return request.Reply{ID: id, Outcome: request.Unresolved, Reason: "no box answered"}, number, nil
 		}
 	}
 }
 
-// Ask returns what is known of a request, waiting up to wait for its outcome.
+// Ask returns the state of a request. The box may delay the reply by up to wait for a final outcome.
+// If ctx ends before a box answers, the outcome is request.Unresolved.
 func (c *Client) Ask(ctx context.Context, id string, wait time.Duration) (request.Reply, error) {
 	for {
 		header := http.Header{}
 		setWait(header, wait)
-		reply, err := c.outcome(ctx, http.MethodGet, "/v1/requests/"+url.PathEscape(id), header, nil)
+		reply, err := c.sendForOutcome(ctx, http.MethodGet, "/v1/requests/"+url.PathEscape(id), header, nil)
 		if err == nil || !unanswered(err) {
 			return reply, err
 		}
-		if !pause(ctx) {
+		if !waitToRetry(ctx) {
 			return request.Reply{ID: id, Outcome: request.Unresolved, Reason: "no box answered"}, nil
 		}
 	}
 }
 
-// Settle submits a request and asks until its outcome is final or ctx ends. Where the boxes know nothing of it after
-// all, it is submitted again under a higher number; a refused submission is not.
+// Settle submits a request and polls until its outcome is final or ctx ends. If the boxes don't know the request when
+// polled, Settle submits it again with a higher submission number. It does not repeat a refused submission.
 func (c *Client) Settle(ctx context.Context, id string, s request.Submission, wait time.Duration) (request.Reply, error) {
-	reply, round, err := c.submit(ctx, id, s, wait, 1)
+	reply, number, err := c.submit(ctx, id, s, wait, 1)
 	for err == nil && !reply.Outcome.Final() {
-		if !pause(ctx) {
+		if !waitToRetry(ctx) {
 			return reply, nil
 		}
 		next, askErr := c.Ask(ctx, id, wait)
 		var failure *Failure
 		if errors.As(askErr, &failure) && failure.Status == http.StatusNotFound {
-			next, round, askErr = c.submit(ctx, id, s, wait, round+1)
+			next, number, askErr = c.submit(ctx, id, s, wait, number+1)
 		}
 		reply, err = next, askErr
 	}
 	return reply, err
 }
 
-// Operate sends a body to an operators' path and returns the raw reply.
+// Operate sends a request to a path for operators and returns the body of the reply.
+// The error is a *Failure if the status is not 200.
 func (c *Client) Operate(ctx context.Context, method, path string, header http.Header, body []byte) ([]byte, error) {
 	status, raw, err := c.send(ctx, method, path, header, body)
 	if err != nil {
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, failure(status, raw)
+		return nil, newFailure(status, raw)
 	}
 	return raw, nil
 }
 
+// setWait sets the Prefer header, which says how long the box may delay its reply.
 func setWait(h http.Header, wait time.Duration) {
 	if wait > 0 {
 		h.Set("Prefer", "wait="+strconv.FormatFloat(wait.Seconds(), 'f', -1, 64))
 	}
 }
 
-func pause(ctx context.Context) bool { return interval.Sleep(ctx, pauseBetween) }
+// waitToRetry waits for the retry delay and reports false if ctx ended first.
+func waitToRetry(ctx context.Context) bool { return interval.Sleep(ctx, retryDelay) }
 
-// unanswered reports whether no box said anything about the request; a box that can't tell callers apart yet has not.
+// unanswered reports whether err leaves the state of the request open, so that another box should be tried.
+// Status 503 counts as unanswered: a box sends it, for example, while it has no configuration to identify callers with.
 func unanswered(err error) bool {
 	var f *Failure
 	return !errors.As(err, &f) || f.Status == http.StatusServiceUnavailable
 }
 
-func (c *Client) outcome(ctx context.Context, method, path string, header http.Header, body []byte) (request.Reply, error) {
+// sendForOutcome sends a request and decodes the reply. The error is a *Failure if the reply has no outcome.
+func (c *Client) sendForOutcome(ctx context.Context, method, path string, header http.Header, body []byte) (request.Reply, error) {
 	status, raw, err := c.send(ctx, method, path, header, body)
 	if err != nil {
 		return request.Reply{}, err
@@ -138,10 +145,11 @@
 	if err := json.Unmarshal(raw, &reply); err == nil && reply.Outcome != "" {
 		return reply, nil
 	}
-	return request.Reply{}, failure(status, raw)
+	return request.Reply{}, newFailure(status, raw)
 }
 
-func failure(status int, raw []byte) error {
+// newFailure returns a *Failure for a reply; its title names the status if the reply is not a problem document.
+func newFailure(status int, raw []byte) error {
 	f := &Failure{Status: status}
 	if json.Unmarshal(raw, &f.Problem) != nil || f.Problem.Title == "" {
 		f.Problem.Title = "the box answered with status " + strconv.Itoa(status)
@@ -149,6 +157,7 @@
 	return f
 }
 
+// send sends a request to the next box and returns the status and body of the reply.
 func (c *Client) send(ctx context.Context, method, path string, header http.Header, body []byte) (int, []byte, error) {
 	base := c.Boxes[int(c.next.Add(1))%len(c.Boxes)]
 	req, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(body))
@@ -161,9 +170,9 @@
 	req.Header.Set("Authorization", "Bearer "+c.Key)
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "caller: no answer")
+		return 0, nil, errors.Wrap(err, "caller: the box did not answer")
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
-	return resp.StatusCode, raw, errors.Wrap(err, "caller: the answer broke off")
+	return resp.StatusCode, raw, errors.Wrap(err, "caller: unable to read the reply")
 }
--- a/pkg/contract/site.go
+++ b/pkg/contract/site.go
@@ -1,15 +1,15 @@
 package contract
 
-// Site is the whole configuration that operators apply: one versioned document.
+// Site is the complete configuration of a site, which operators apply as one versioned document.
 type Site struct {
 	Name    string
-	Version int64 // Version of the committed row; 0 before it is committed.
+	Version int64 // Version of the committed table row; 0 before the commit.
 
-	CompletionWeight   float64 // 0 favours low fragmentation, 1 favours short completion times.
-	ReserveShare       float64 // Share of each hall's accelerators that no guarantee may use.
-	ReclaimSeconds     int     // Bound in seconds for giving a guarantee back with checkpoints.
-	SetAsideSeconds    int     // Age in seconds from which a waiting large gang gets a rack set aside.
-	GiveUpAfterWorkers int     // Healthy workers that a job may fail on before it is given up.
+	CompletionWeight   float64 // 0 to 1: 0 favours low fragmentation, 1 favours short completion times.
+	ReserveShare       float64 // Fraction of each hall's accelerators that guarantees may not use.
+	ReclaimSeconds     int     // Time limit in seconds for returning borrowed guaranteed capacity, including checkpoints.
+	SetAsideSeconds    int     // Waiting time in seconds after which a rack is reserved for a large gang.
+	GiveUpAfterWorkers int     // Number of healthy workers on which a job may fail before it is failed (crash-looping).
 
 	Halls      []Hall
 	Upstreams  []Upstream
@@ -25,7 +25,7 @@
 	Racks  []Rack
 }
 
-// Rack is a group of workers with adjacent accelerators.
+// Rack is a group of workers whose accelerators are adjacent.
 type Rack struct {
 	Name    string
 	Hall    string
@@ -41,41 +41,41 @@
 	Capacity Shape
 }
 
-// Upstream is an executor that answers small requests.
+// Upstream is a back end that answers small requests.
 type Upstream struct {
 	Name        string
 	Hall        string
 	Address     string // Base URL, http://IP:port.
-	Slots       int    // Requests it works on at once.
-	Connections int    // Connections it takes from all boxes together.
+	Slots       int    // Maximum number of requests that it processes at once.
+	Connections int    // Maximum number of connections from all boxes together.
 }
 
-// Workspace is a customer with a guarantee and a limit.
+// Workspace is a customer with guaranteed capacity and a limit.
 type Workspace struct {
 	Name              string
-	Share             float64 // Weight in the order beyond guarantees.
-	Blocks            int     // Guaranteed blocks, each whole inside one rack.
-	BlockAccelerators int     // Adjacent accelerators in a block.
-	LimitAccelerators int     // Most accelerators in use at once; 0 means no limit.
+	Share             float64 // Weight when capacity beyond the guarantees is divided.
+	Blocks            int     // Number of guaranteed blocks; each block lies within one rack.
+	BlockAccelerators int     // Number of adjacent accelerators in a block.
+	LimitAccelerators int     // Maximum number of accelerators in use at once; 0 means no limit.
 }
 
-// Guaranteed returns the guaranteed accelerators of the workspace.
+// Guaranteed returns the number of guaranteed accelerators of the workspace.
 func (w Workspace) Guaranteed() int { return w.Blocks * w.BlockAccelerators }
 
-// Caller may submit requests for its workspaces.
+// Caller is a client that may submit requests for its workspaces.
 type Caller struct {
 	Name       string
 	Workspaces []string
 	KeyHash    string // Hex SHA-256 of its key.
 }
 
-// Operator may ask and command.
+// Operator is a client that may query and change the system.
 type Operator struct {
 	Name    string
 	KeyHash string // Hex SHA-256 of its key.
 }
 
-// Workspace returns the workspace of that name.
+// Workspace returns the workspace with the given name and reports whether it exists.
 func (s *Site) Workspace(name string) (Workspace, bool) {
 	for _, w := range s.Workspaces {
 		if w.Name == name {
@@ -85,7 +85,7 @@
 	return Workspace{}, false
 }
 
-// Upstream returns the upstream of that name.
+// Upstream returns the upstream with the given name and reports whether it exists.
 func (s *Site) Upstream(name string) (Upstream, bool) {
 	for _, u := range s.Upstreams {
 		if u.Name == name {
@@ -95,7 +95,7 @@
 	return Upstream{}, false
 }
 
-// Hall returns the hall of that name.
+// Hall returns the hall with the given name and reports whether it exists.
 func (s *Site) Hall(name string) (Hall, bool) {
 	for _, h := range s.Halls {
 		if h.Name == name {
@@ -105,7 +105,7 @@
 	return Hall{}, false
 }
 
-// Capacity returns the sum over the rack's workers.
+// Capacity returns the total capacity of the rack's workers.
 func (r Rack) Capacity() Shape {
 	var sum Shape
 	for _, w := range r.Workers {
@@ -114,7 +114,7 @@
 	return sum
 }
 
-// Capacity returns the sum over the hall's racks.
+// Capacity returns the total capacity of the hall's racks.
 func (h Hall) Capacity() Shape {
 	var sum Shape
 	for _, r := range h.Racks {
@@ -123,11 +123,11 @@
 	return sum
 }
 
-// GangFits reports whether a gang of members of one shape can ever be whole inside the rack when it is empty.
+// GangFits reports whether a gang of that many members, each of the given shape, fits into the rack when it is empty.
 func (r Rack) GangFits(members int, shape Shape) bool {
-	room := 0
+	fitting := 0
 	for _, w := range r.Workers {
-		room += shape.Copies(w.Capacity)
+		fitting += shape.Copies(w.Capacity)
 	}
-	return room >= members
+	return fitting >= members
 }
--- a/pkg/request/validate.go
+++ b/pkg/request/validate.go
@@ -7,13 +7,13 @@
 	"github.com/pulleyring/pulleyring/pkg/finding"
 )
 
-// maxDeclaredSeconds bounds a declared run time: thirty days.
+// maxDeclaredSeconds is the upper limit for a declared run time and for a deadline: thirty days.
 const maxDeclaredSeconds = 30 * 24 * 3600
 
-// maxIDBytes bounds a request id.
+// maxIDBytes is the maximum length of a request id.
 const maxIDBytes = 128
 
-// Validate returns every finding about a submission from caller under a site's configuration.
+// Validate checks a submission from caller against the site's configuration and returns all problems found.
 func Validate(site *contract.Site, caller contract.Caller, id string, s Submission) finding.List {
 	var list finding.List
 	validateID(&list, id)
@@ -31,6 +31,7 @@
 	return list
 }
 
+// validateID checks the request id, which is sent as the Idempotency-Key header.
 func validateID(list *finding.List, id string) {
 	if id == "" {
 		list.Add("header", "Idempotency-Key", "1 to 128 characters", "is missing")
@@ -46,6 +47,7 @@
 	}
 }
 
+// validateWorkspace checks that the workspace exists, that the caller may use it, and that the gang keeps its limit.
 func validateWorkspace(list *finding.List, site *contract.Site, caller contract.Caller, s Submission) {
 	w, ok := site.Workspace(s.Workspace)
 	if !ok {
@@ -70,6 +72,7 @@
 	}
 }
 
+// validateGang checks the size and shape of a gang, and that the gang fits into an empty rack of the site.
 func validateGang(list *finding.List, site *contract.Site, s Submission) {
 	if s.Gang < 0 || s.Gang > MaxGang {
 		list.Add("body", "gang", "0 to 64", "%d is out of range", s.Gang)
