--- a/internal/hall/book.go
+++ b/internal/hall/book.go
@@ -1,5 +1,6 @@
-// Package hall runs the decisions for one hall in a box: it keeps a view of the hall's rows and workers, asks the
-// decider, and carries out what it decides by hold, commit and start.
+// Package hall schedules the jobs of one hall in one box. It caches the hall's rows, monitors its workers, asks the
+// decider, and carries out the decisions. A start takes three steps: hold the devices, commit the rows, start the
+// members.
 package hall
 
 import (
@@ -14,66 +15,66 @@
 	"github.com/pulleyring/pulleyring/internal/table"
 )
 
-// Entry is a job with the version of its row, and since when this box knows what it says.
+// Entry is a job with the version of its row and the times at which this box first saw its attempt and its stop.
 type Entry struct {
 	settlement.Job
-	Version  int64
-	Learned  time.Time // When this box first saw the attempt, which was held at its workers before.
-	Stopping time.Time // When it first saw that the attempt is to stop; zero before.
+	Version   int64
+	FirstSeen time.Time // When this box first saw the attempt; its workers held it before that.
+	StopSeen  time.Time // When this box first saw that the attempt must stop; zero until then.
 }
 
-// date fills in since when the box knows the attempt and its stop, from the entry before.
-func (e *Entry) date(old *Entry) {
+// setTimes sets FirstSeen and StopSeen, and keeps the times of old if it describes the same attempt.
+func (j *Entry) setTimes(old *Entry) {
 	now := time.Now()
-	e.Learned = now
-	if e.State == settlement.Stopping {
-		e.Stopping = now
+	j.FirstSeen = now
+	if j.State == settlement.Stopping {
+		j.StopSeen = now
 	}
-	if old == nil || old.Attempt != e.Attempt {
+	if old == nil || old.Attempt != j.Attempt {
 		return
 	}
-	e.Learned = old.Learned
+	j.FirstSeen = old.FirstSeen
 	if old.State == settlement.Stopping {
-		e.Stopping = old.Stopping
+		j.StopSeen = old.StopSeen
 	}
 }
 
 // Key returns the job's key, caller/id.
-func (e *Entry) Key() string { return e.Identity.String() }
+func (j *Entry) Key() string { return j.Identity.String() }
 
-// Book is a view of a hall's rows that is refreshed from the table. Fill in Hall and Table before use.
+// Book caches a hall's rows and refreshes them from the table. Set Hall and Table before use.
 type Book struct {
 	Hall  string
 	Table table.Service
 
-	mu       sync.Mutex
-	turn     chan struct{} // Holds one token while a refresh is under way.
-	revision int64
-	jobs     map[string]*Entry
-	racks    map[string]int64 // Versions of the racks' rows.
+	mu           sync.Mutex
+	refreshToken chan struct{} // Holds one token while a refresh runs.
+	revision     int64
+	jobs         map[string]*Entry
+	racks        map[string]int64 // Versions of the rack rows, by rack.
 }
 
-// changesLimit is the number of rows asked for at once.
+// changesLimit is the most rows that one read of changes returns.
 const changesLimit = 2000
 
-// Refresh takes in what changed since the last time.
-func (b *Book) Refresh(ctx context.Context) error {
-	turn := b.turns()
+// Refresh applies the changes made to the table since the last refresh. Only one refresh runs at a time.
+func (c *Book) Refresh(ctx context.Context) error {
+	token := c.refreshTokens()
 	select {
-	case turn <- struct{}{}:
-		defer func() { <-turn }()
+	case token <- struct{}{}:
+		defer func() { <-token }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for {
-		b.mu.Lock()
-		after := b.revision
-		b.mu.Unlock()
-		rows, revision, err := b.Table.Changes(ctx, settlement.HallPrefix(b.Hall), after, changesLimit)
+		c.mu.Lock()
+		after := c.revision
+		c.mu.Unlock()
+		rows, revision, err := c.Table.Changes(ctx, settlement.HallPrefix(c.Hall), after, changesLimit)
 		if err != nil {
-			return errors.Wrapf(err, "hall: unable to refresh %s", b.Hall)
+			return errors.Wrapf(err, "hall: unable to refresh %s", c.Hall)
 		}
-		if err := b.take(rows, revision); err != nil {
+		if err := c.apply(rows, revision); err != nil {
 			return err
 		}
 		if len(rows) < changesLimit {
@@ -82,114 +83,114 @@
 	}
 }
 
-// turns returns the channel that lets one refresh through at a time.
-func (b *Book) turns() chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.turn == nil {
-		b.turn = make(chan struct{}, 1)
+// refreshTokens returns the channel that admits one refresh at a time.
+func (c *Book) refreshTokens() chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.refreshToken == nil {
+		c.refreshToken = make(chan struct{}, 1)
 	}
-	return b.turn
+	return c.refreshToken
 }
 
-func (b *Book) take(rows []table.Row, revision int64) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.init()
+func (c *Book) apply(rows []table.Row, revision int64) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.init()
 	for _, row := range rows {
-		if err := b.takeRow(row); err != nil {
+		if err := c.applyRow(row); err != nil {
 			return err
 		}
 	}
-	b.revision = revision
+	c.revision = revision
 	return nil
 }
 
-func (b *Book) init() {
-	if b.jobs == nil {
-		b.jobs = map[string]*Entry{}
-		b.racks = map[string]int64{}
+func (c *Book) init() {
+	if c.jobs == nil {
+		c.jobs = map[string]*Entry{}
+		c.racks = map[string]int64{}
 	}
 }
 
-func (b *Book) takeRow(row table.Row) error {
-	kind, name, _ := strings.Cut(strings.TrimPrefix(row.Key, settlement.HallPrefix(b.Hall)), "/")
+func (c *Book) applyRow(row table.Row) error {
+	kind, name, _ := strings.Cut(strings.TrimPrefix(row.Key, settlement.HallPrefix(c.Hall)), "/")
 	switch kind {
 	case "rack":
-		b.racks[name] = max(b.racks[name], row.Version)
+		c.racks[name] = max(c.racks[name], row.Version)
 	case "job":
-		old := b.jobs[name]
+		old := c.jobs[name]
 		if old != nil && old.Version >= row.Version {
 			return nil
 		}
 		if row.Deleted {
-			delete(b.jobs, name)
+			delete(c.jobs, name)
 			return nil
 		}
-		e := &Entry{Version: row.Version}
-		if err := settlement.Decode(row, &e.Job); err != nil {
+		j := &Entry{Version: row.Version}
+		if err := settlement.Decode(row, &j.Job); err != nil {
 			return err
 		}
-		e.date(old)
-		b.jobs[name] = e
+		j.setTimes(old)
+		c.jobs[name] = j
 	}
 	return nil
 }
 
-// Put notes a job row that this box committed.
-func (b *Book) Put(job settlement.Job, version int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.init()
+// Put records a job row that this box committed. It keeps a newer version if there is one.
+func (c *Book) Put(job settlement.Job, version int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.init()
 	key := job.Identity.String()
-	old := b.jobs[key]
+	old := c.jobs[key]
 	if old != nil && old.Version >= version {
 		return
 	}
-	e := &Entry{Job: job, Version: version}
-	e.date(old)
-	b.jobs[key] = e
+	j := &Entry{Job: job, Version: version}
+	j.setTimes(old)
+	c.jobs[key] = j
 }
 
-// Drop notes that this box committed the deletion of a job row.
-func (b *Book) Drop(key string, version int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if old := b.jobs[key]; old != nil && old.Version < version {
-		delete(b.jobs, key)
+// Drop records that this box committed the deletion of a job row.
+func (c *Book) Drop(key string, version int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if old := c.jobs[key]; old != nil && old.Version < version {
+		delete(c.jobs, key)
 	}
 }
 
-// PutRack notes that this box committed a rack's row.
-func (b *Book) PutRack(rack string, version int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.init()
-	b.racks[rack] = max(b.racks[rack], version)
+// PutRack records that this box committed a rack's row.
+func (c *Book) PutRack(rack string, version int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.init()
+	c.racks[rack] = max(c.racks[rack], version)
 }
 
-// RackVersion returns the version of a rack's row, 0 where there is none.
-func (b *Book) RackVersion(rack string) int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.racks[rack]
+// RackVersion returns the version of a rack's row, or 0 if there is none.
+func (c *Book) RackVersion(rack string) int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.racks[rack]
 }
 
-// Job returns a job, or nil; the entry must not be changed.
-func (b *Book) Job(key string) *Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.jobs[key]
+// Job returns a job, or nil if there is none. The caller must not change it.
+func (c *Book) Job(key string) *Entry {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.jobs[key]
 }
 
-// Jobs returns every job in the order of their keys; the entries must not be changed.
-func (b *Book) Jobs() []*Entry {
-	b.mu.Lock()
-	list := make([]*Entry, 0, len(b.jobs))
-	for _, e := range b.jobs {
-		list = append(list, e)
+// Jobs returns all jobs, sorted by key. The caller must not change them.
+func (c *Book) Jobs() []*Entry {
+	c.mu.Lock()
+	list := make([]*Entry, 0, len(c.jobs))
+	for _, j := range c.jobs {
+		list = append(list, j)
 	}
-	b.mu.Unlock()
+	c.mu.Unlock()
 	slices.SortFunc(list, func(x, y *Entry) int { return strings.Compare(x.Key(), y.Key()) })
 	return list
 }
--- a/internal/hall/cancel.go
+++ b/internal/hall/cancel.go
@@ -8,42 +8,42 @@
 	"github.com/pulleyring/pulleyring/internal/table"
 )
 
-// CancelResult says what a cancellation did.
+// CancelResult is what a cancellation did.
 type CancelResult string
 
-// The results of Keeper.Cancel.
+// The results of Cancel.
 const (
-	CancelUnrun    CancelResult = "unrun"    // It was settled without running on.
-	CancelStopping CancelResult = "stopping" // Its attempt was told to stop and will be settled.
-	CancelPast     CancelResult = "past"     // It was cancelled already.
+	CancelUnrun    CancelResult = "unrun"    // The job was settled and won't run any further.
+	CancelStopping CancelResult = "stopping" // The attempt must stop; the job is settled after that.
+	CancelPast     CancelResult = "past"     // The job had been cancelled before.
 )
 
-// Cancel ends a job from any box: the row's version decides between it and whatever else happens to the job.
-// A conflict means that the job moved on meanwhile.
-func (k *Keeper) Cancel(ctx context.Context, e *Entry, reason string) (CancelResult, error) {
+// Cancel cancels a job. Any box may call it: the check of the row's version makes sure that no concurrent change is
+// overwritten. A conflict error means that the job changed meanwhile.
+func (c *Keeper) Cancel(ctx context.Context, j *Entry, reason string) (CancelResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	if e.State == settlement.Waiting {
-		return CancelUnrun, k.cancelWaiting(ctx, e, reason)
+	if j.State == settlement.Waiting {
+		return CancelUnrun, c.cancelWaiting(ctx, j, reason)
 	}
-	next, err := e.Job.Stop(settlement.Halt{Reason: reason, AtOnce: true, Cancel: true})
+	next, err := j.Job.Stop(settlement.Halt{Reason: reason, AtOnce: true, Cancel: true})
 	if errors.Is(err, settlement.ErrStep) {
 		return CancelPast, nil
 	}
-	if _, err := k.write(ctx, e, next, table.Reclaim); err != nil {
+	if _, err := c.write(ctx, j, next, table.Reclaim); err != nil {
 		return "", err
 	}
-	k.note(e.Key(), e.Attempt, reason)
-	k.News(settlement.HallPrefix(k.Hall))
+	c.recordEvent(j.Key(), j.Attempt, reason)
+	c.News(settlement.HallPrefix(c.Hall))
 	return CancelStopping, nil
 }
 
-func (k *Keeper) cancelWaiting(ctx context.Context, e *Entry, reason string) error {
-	reply, revision, err := k.trySettle(ctx, e, verdict{outcome: e.Unrun(), reason: reason})
+func (c *Keeper) cancelWaiting(ctx context.Context, j *Entry, reason string) error {
+	reply, revision, err := c.trySettle(ctx, j, result{outcome: j.Unrun(), reason: reason})
 	if err != nil {
 		return err
 	}
-	k.settledAt(e, revision, reply)
-	k.News(settlement.HallPrefix(k.Hall))
+	c.finishSettlement(j, revision, reply)
+	c.News(settlement.HallPrefix(c.Hall))
 	return nil
 }
--- a/internal/hall/keeper.go
+++ b/internal/hall/keeper.go
@@ -18,8 +18,8 @@
 	"go.uber.org/zap"
 )
 
-// Keeper looks after one hall in one box. Every box has a keeper for every hall; only the preferred box's decides.
-// Fill in the exported fields before Run.
+// Keeper schedules one hall in one box. Every box has one for every hall, but only the one in the hall's preferred
+// box makes decisions. Set the exported fields before Run.
 type Keeper struct {
 	Hall      string
 	Settings  *settings.Box
@@ -32,85 +32,86 @@
 	Log       *zap.Logger
 	Policy    decider.Policy
 
-	Preferred func() bool                      // Whether this box should decide for the hall.
-	Loads     func() []link.Load               // Of the halls that other boxes decide for.
-	Settled   func(box string, s link.Settled) // Tells the box where the caller waits.
-	News      func(prefix string)              // Tells other boxes that rows changed.
-	Metrics   *Metrics                         // May be nil.
+	Preferred func() bool // Reports whether this box should decide for the hall.
+	// Returns the loads of all halls, as last reported by the boxes that decide for them.
+	Loads   func() []link.Load
+	Settled func(box string, s link.Settled) // Tells the box where the caller waits.
+	News    func(prefix string)              // Tells other boxes that rows with this prefix changed.
+	Metrics *Metrics                         // May be nil.
 
 	wake     chan struct{}
 	renewNow chan struct{}
 	once     sync.Once
-	watch    watch
+	monitor  workerMonitor
 
-	mu        sync.Mutex
-	on        bool                 // This box decides now.
-	stale     bool                 // The book must be refreshed.
-	refreshed time.Time            // Begin of the last refresh that succeeded.
-	busy      map[string]bool      // Jobs with a step under way.
-	resting   map[string]time.Time // Jobs that take no step until an instant.
-	starts    map[string]*placement
-	rackBusy  map[string]bool // Racks with a placement under way.
-	setAsides []decider.SetAside
-	waits     map[string]*decider.Reason
-	load      link.Load
-	health    decider.Health
-	estimates decider.Estimates
-	layout    layoutCache
-	losses    workerLosses
-	known     map[string]bool // Jobs whose earlier failures were taken into the health.
+	mu             sync.Mutex
+	deciding       bool                 // This box decides for the hall now.
+	stale          bool                 // The cached rows must be refreshed.
+	refreshed      time.Time            // When the last successful refresh began.
+	busy           map[string]bool      // Jobs with a step in progress.
+	pausedUntil    map[string]time.Time // Jobs that take no step before a time.
+	pendingStarts  map[string]*pendingStart
+	busyRacks      map[string]bool // Racks in which starts are in progress.
+	reservedRacks  []decider.SetAside
+	waitReasons    map[string]*decider.Reason
+	load           link.Load
+	health         decider.Health
+	estimates      decider.Estimates
+	layoutCache    layoutCache
+	losses         workerLosses
+	failuresLoaded map[string]bool // Jobs whose earlier failures were added to health.
 }
 
-// Metrics counts what a keeper does; nil functions are not called.
+// Metrics holds functions that observe the scheduler's work. Functions that are nil are not called.
 type Metrics struct {
 	Pass  func(took time.Duration)
 	Start func(waited time.Duration)
 }
 
-// Run looks after the hall until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
-	k.init()
+// Run schedules the hall until ctx ends.
+func (c *Keeper) Run(ctx context.Context) {
+	c.init()
 	var group sync.WaitGroup
-	group.Go(func() { interval.EveryOrWoken(ctx, k.Settings.Lease.Renew, k.renewNow, k.renewTurn) })
-	group.Go(func() { interval.EveryOrWoken(ctx, k.Settings.Timing.Pass, k.wake, k.turn) })
+	group.Go(func() { interval.EveryOrWoken(ctx, c.Settings.Lease.Renew, c.renewNow, c.renewIfActive) })
+	group.Go(func() { interval.EveryOrWoken(ctx, c.Settings.Timing.Pass, c.wake, c.update) })
 	group.Wait()
 }
 
-func (k *Keeper) init() {
-	k.once.Do(func() {
-		k.wake = make(chan struct{}, 1)
-		k.renewNow = make(chan struct{}, 1)
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.clear()
+func (c *Keeper) init() {
+	c.once.Do(func() {
+		c.wake = make(chan struct{}, 1)
+		c.renewNow = make(chan struct{}, 1)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.clear()
 	})
 }
 
-// clear forgets what belongs to a time of deciding.
-func (k *Keeper) clear() {
-	k.busy = map[string]bool{}
-	k.resting = map[string]time.Time{}
-	k.starts = map[string]*placement{}
-	k.rackBusy = map[string]bool{}
-	k.waits = map[string]*decider.Reason{}
-	k.known = map[string]bool{}
-	k.health = decider.Health{}
-	k.setAsides = nil
-	k.stale = true
+// clear resets the state that is only valid while this box decides.
+func (c *Keeper) clear() {
+	c.busy = map[string]bool{}
+	c.pausedUntil = map[string]time.Time{}
+	c.pendingStarts = map[string]*pendingStart{}
+	c.busyRacks = map[string]bool{}
+	c.waitReasons = map[string]*decider.Reason{}
+	c.failuresLoaded = map[string]bool{}
+	c.health = decider.Health{}
+	c.reservedRacks = nil
+	c.stale = true
 }
 
-// Wake asks for a pass soon.
-func (k *Keeper) Wake() {
-	k.init()
-	signal(k.wake)
+// Wake requests a pass soon.
+func (c *Keeper) Wake() {
+	c.init()
+	signal(c.wake)
 }
 
-// Stale says that rows of the hall changed.
-func (k *Keeper) Stale() {
-	k.mu.Lock()
-	k.stale = true
-	k.mu.Unlock()
-	k.Wake()
+// Stale records that rows of the hall changed and requests a pass.
+func (c *Keeper) Stale() {
+	c.mu.Lock()
+	c.stale = true
+	c.mu.Unlock()
+	c.Wake()
 }
 
 func signal(c chan struct{}) {
@@ -120,86 +121,87 @@
 	}
 }
 
-// turn takes the hall over or gives it up where the preference changed, and makes one pass where this box decides.
-func (k *Keeper) turn(ctx context.Context) {
-	preferred := k.Preferred() && k.Config.Site() != nil
-	if preferred != k.active() {
-		k.change(ctx, preferred)
+// update takes over or gives up the hall if the preferred box changed. If this box decides, it then checks all
+// attempts and makes a decision pass.
+func (c *Keeper) update(ctx context.Context) {
+	preferred := c.Preferred() && c.Config.Site() != nil
+	if preferred != c.active() {
+		c.setActive(ctx, preferred)
 	}
 	if !preferred {
 		return
 	}
-	fresh := k.refresh(ctx)
-	k.judgeAll(ctx)
-	if fresh { // Nothing starts on a view that can't be checked against the table.
-		k.pass(ctx)
+	upToDate := c.refresh(ctx)
+	c.checkAttempts(ctx)
+	if upToDate { // Starts need rows that match the table.
+		c.decide(ctx)
 	}
 }
 
 // active reports whether this box decides for the hall.
-func (k *Keeper) active() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.on
+func (c *Keeper) active() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.deciding
 }
 
-func (k *Keeper) change(ctx context.Context, preferred bool) {
-	k.mu.Lock()
-	k.on = preferred
+func (c *Keeper) setActive(ctx context.Context, preferred bool) {
+	c.mu.Lock()
+	c.deciding = preferred
 	if preferred {
-		k.clear()
-		k.watch.reset()
+		c.clear()
+		c.monitor.reset()
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	text := "gave up the hall"
 	if preferred {
 		text = "took over the hall"
-		k.renewAll(ctx)
+		c.renewAll(ctx)
 	}
-	k.note("", "", text)
-	k.Log.Info("hall: "+text, zap.String("hall", k.Hall))
+	c.recordEvent("", "", text)
+	c.Log.Info("hall: "+text, zap.String("hall", c.Hall))
 }
 
-// refresh brings the book up to date where news came or the last look is old, and reports whether it is.
-func (k *Keeper) refresh(ctx context.Context) bool {
-	k.mu.Lock()
-	needed := k.stale || time.Since(k.refreshed) > k.Settings.Timing.Refresh
-	k.stale = false
-	k.mu.Unlock()
+// refresh updates the cached rows if they changed or are too old, and reports whether they are up to date.
+func (c *Keeper) refresh(ctx context.Context) bool {
+	c.mu.Lock()
+	needed := c.stale || time.Since(c.refreshed) > c.Settings.Timing.Refresh
+	c.stale = false
+	c.mu.Unlock()
 	if !needed {
 		return true
 	}
 	began := time.Now()
-	err := k.Book.Refresh(ctx)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	err := c.Book.Refresh(ctx)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err == nil {
-		k.refreshed = began
+		c.refreshed = began
 		return true
 	}
-	k.stale = true
+	c.stale = true
 	return false
 }
 
-// checked returns the instant as of which the book is surely up to date.
-func (k *Keeper) checked() time.Time {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.refreshed
+// checked returns the time as of which the cached rows are known to be up to date.
+func (c *Keeper) checked() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.refreshed
 }
 
-// note adds an event of this hall to the time line.
-func (k *Keeper) note(job, attempt, text string) {
-	k.Recorder.Add(timeline.Event{Part: "hall", Hall: k.Hall, Job: job, Attempt: attempt, Text: text})
+// recordEvent adds an event of this hall to the timeline.
+func (c *Keeper) recordEvent(job, attempt, text string) {
+	c.Recorder.Add(timeline.Event{Part: "hall", Hall: c.Hall, Job: job, Attempt: attempt, Text: text})
 }
 
-// workers returns the workers of the hall.
-func (k *Keeper) workers() []contract.Worker {
-	site := k.Config.Site()
+// workers returns the hall's workers.
+func (c *Keeper) workers() []contract.Worker {
+	site := c.Config.Site()
 	if site == nil {
 		return nil
 	}
-	h, _ := site.Hall(k.Hall)
+	h, _ := site.Hall(c.Hall)
 	var list []contract.Worker
 	for _, r := range h.Racks {
 		list = append(list, r.Workers...)
@@ -207,48 +209,48 @@
 	return list
 }
 
-// workersByName returns the workers of the hall by name.
-func (k *Keeper) workersByName() map[string]contract.Worker {
+// workersByName returns the hall's workers by name.
+func (c *Keeper) workersByName() map[string]contract.Worker {
 	list := map[string]contract.Worker{}
-	for _, w := range k.workers() {
+	for _, w := range c.workers() {
 		list[w.Name] = w
 	}
 	return list
 }
 
-// Why returns why a job of this hall waits, in words, or an empty text where it does not wait.
-func (k *Keeper) Why(key string) string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if r := k.waits[key]; r != nil {
+// Why returns the reason why a job of this hall waits, or "" if it does not wait.
+func (c *Keeper) Why(key string) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.waitReasons[key]; r != nil {
 		return r.String()
 	}
 	return ""
 }
 
-// Load returns what the hall holds, and whether this box decides for it.
-func (k *Keeper) Load() (link.Load, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.load, k.on
+// Load returns the hall's load, and whether this box decides for the hall.
+func (c *Keeper) Load() (link.Load, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.load, c.deciding
 }
 
-// Usage returns what a worker reported to be in use and whether it was heard lately.
-func (k *Keeper) Usage(name string) (contract.Shape, bool) {
-	return k.watch.usage(name), k.watch.reachable(name, k.fresh())
+// Usage returns the usage that a worker last reported, and whether that report is recent.
+func (c *Keeper) Usage(name string) (contract.Shape, bool) {
+	return c.monitor.usage(name), c.monitor.reachable(name, c.reportMaxAge())
 }
 
-// SetAsides returns the racks that are set aside, by job.
-func (k *Keeper) SetAsides() map[string]string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	site := k.Config.Site()
+// SetAsides returns the job for which each rack is reserved, by rack. Racks without a reservation are left out.
+func (c *Keeper) SetAsides() map[string]string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	site := c.Config.Site()
 	if site == nil {
 		return nil
 	}
-	h, _ := site.Hall(k.Hall)
+	h, _ := site.Hall(c.Hall)
 	list := map[string]string{}
-	for _, s := range k.setAsides {
+	for _, s := range c.reservedRacks {
 		if s.Rack < len(h.Racks) {
 			list[h.Racks[s.Rack].Name] = s.Job
 		}
@@ -256,12 +258,12 @@
 	return list
 }
 
-// field names a job in a log line.
-func (k *Keeper) field(e *Entry) zap.Field { return zap.String("job", e.Key()) }
+// jobField returns a log field with the job's key.
+func (c *Keeper) jobField(j *Entry) zap.Field { return zap.String("job", j.Key()) }
 
-// Busy returns the number of jobs with a step under way in this box.
-func (k *Keeper) Busy() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.busy)
+// Busy returns the number of jobs with a step in progress in this box.
+func (c *Keeper) Busy() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.busy)
 }
--- a/internal/hall/loss.go
+++ b/internal/hall/loss.go
@@ -10,125 +10,131 @@
 	"github.com/pulleyring/pulleyring/internal/settlement"
 )
 
-// earlyLoss is the age up to which an attempt that loses a worker speaks against its job, whatever else is lost: one that crashes its workers mostly does so as it
-// begins, and the longer an attempt has run, the likelier it is that something else took the worker.
-const earlyLoss = 2 * time.Second
+// earlyLossMaxAge is the run time up to which the loss of a worker always counts against the job. A job that crashes
+// its workers mostly does so at its start; the longer it has run, the likelier is another cause.
+const earlyLossMaxAge = 2 * time.Second
 
 const (
-	// lostTogether is the time within which workers that are found to be lost were lost together: a lease and some reports.
+	// lostTogether is the time within which losses have a common cause: a lease and a few reports.
 	lostTogether = 10 * time.Second
-	// othersLost is how many others must be lost together with an attempt's workers for that to be no job's doing.
-	othersLost = 3
-	// aloneAfter is how many late losses have a job run beside no other such job, until it ends: the next one tells which of them lost the workers.
-	aloneAfter = 2
+	// commonCauseLosses is how many other workers must be lost within lostTogether so that the job is not blamed.
+	commonCauseLosses = 3
+	// exclusiveAfter is the number of late losses after which a job runs while no other job with losses does, until
+	// it ends. Its next loss then shows whether it is the cause.
+	exclusiveAfter = 2
 )
 
-// workerLosses is what is known of workers that were lost, whatever they ran. The zero value is ready.
+// workerLosses counts lost workers, whatever they ran. The zero value is ready for use.
 type workerLosses struct {
 	loss.Background
-	found map[string]time.Time // Workers that were found to be lost lately, by when that was.
-	last  time.Time            // When one was last counted as lost by itself.
+	lostAt      map[string]time.Time // Recently lost workers, with the time when the loss was found.
+	lastCounted time.Time            // When a loss was last counted as background.
 }
 
-// note takes in that workers were found to be lost under an attempt, and returns how many others were lost together with them. Those that are lost together count
-// once as lost by themselves, and those of a suspect job don't.
-func (l *workerLosses) note(workers []string, suspect bool, now time.Time) (others int) {
-	if l.found == nil {
-		l.found = map[string]time.Time{}
+// record records workers that were lost under an attempt, and returns how many others were lost within lostTogether.
+// Such losses count once as background. Losses of a suspect job don't count as background.
+func (l *workerLosses) record(workers []string, suspect bool, now time.Time) (others int) {
+	if l.lostAt == nil {
+		l.lostAt = map[string]time.Time{}
 	}
-	for name, at := range l.found {
+	for name, at := range l.lostAt {
 		switch {
 		case now.Sub(at) > lostTogether:
-			delete(l.found, name)
+			delete(l.lostAt, name)
 		case !slices.Contains(workers, name):
 			others++
 		}
 	}
 	for _, name := range workers {
-		l.found[name] = now
+		l.lostAt[name] = now
 	}
-	if !suspect && now.Sub(l.last) > lostTogether {
+	if !suspect && now.Sub(l.lastCounted) > lostTogether {
 		l.Lost++
-		l.last = now
+		l.lastCounted = now
 	}
 	return others
 }
 
-// watchWorkers counts the workers that run attempts of jobs which have lost none, now and then; the lock is held.
-func (k *Keeper) watchWorkers(now time.Time) {
-	if !k.losses.Due(now) {
+// sampleWorkers counts the workers that run jobs without losses, if a sample is due. The caller holds c.mu.
+func (c *Keeper) sampleWorkers(now time.Time) {
+	if !c.losses.Due(now) {
 		return
 	}
 	watched := map[string]bool{}
-	for _, e := range k.Book.Jobs() {
-		for i := range e.Seats {
-			if name := e.Seats[i].Worker; e.State == settlement.Starting && e.Losses == 0 {
+	for _, j := range c.Book.Jobs() {
+		for i := range j.Seats {
+			if name := j.Seats[i].Worker; j.State == settlement.Starting && j.Losses == 0 {
 				watched[name] = true
 			}
 		}
 	}
-	k.losses.Watch(len(watched), now)
+	c.losses.Watch(len(watched), now)
 }
 
-// judgeLoss reports whether the loss of an attempt's workers counts against its job, and whether it came late: then only if hardly any of its workers would be lost
-// by itself in the time that the attempt had run.
-func (k *Keeper) judgeLoss(e *Entry, sights []settlement.Sight) (counts, late bool) {
+// classifyLoss reports whether the loss of an attempt's workers counts against its job, and whether the loss was
+// late. A late loss counts only if few other workers were lost at the same time, and if hardly any of the attempt's
+// workers would be lost in that run time without the job's doing.
+func (c *Keeper) classifyLoss(j *Entry, states []settlement.Sight) (counts, late bool) {
 	var lost []string
-	age := time.Duration(math.MaxInt64)
-	for i, s := range sights {
+	runTime := time.Duration(math.MaxInt64)
+	for i, s := range states {
 		if s.Lost || s.Expired {
-			lost = append(lost, e.Seats[i].Worker)
-			age = min(age, k.watch.lastListed(e.Seats[i].Worker, e).Sub(e.Started))
+			lost = append(lost, j.Seats[i].Worker)
+			runTime = min(runTime, c.monitor.lastSeenLive(j.Seats[i].Worker, j).Sub(j.Started))
 		}
 	}
 	if len(lost) == 0 {
 		return false, false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	others := k.losses.note(lost, e.Losses > 0, time.Now())
-	if age <= earlyLoss {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	others := c.losses.record(lost, j.Losses > 0, time.Now())
+	if runTime <= earlyLossMaxAge {
 		return true, false
 	}
-	chance := float64(len(e.Seats)) * k.losses.Expected(age, e.Losses > 0)
-	return others < othersLost && chance <= loss.ChanceMost, true
+	expected := float64(len(j.Seats)) * c.losses.Expected(runTime, j.Losses > 0)
+	return others < commonCauseLosses && expected <= loss.ChanceMost, true
 }
 
-// lastListed returns when a worker last listed an attempt as live, or when this box learned of the attempt, whatever is later.
-func (s *watch) lastListed(name string, e *Entry) time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if at := s.worker(name).listed[e.Attempt]; at.After(e.Learned) {
+// lastSeenLive returns when a worker last reported an attempt as live, or when this box first saw the attempt,
+// whichever is later.
+func (m *workerMonitor) lastSeenLive(name string, j *Entry) time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if at := m.worker(name).lastLive[j.Attempt]; at.After(j.FirstSeen) {
 		return at
 	}
-	return e.Learned
+	return j.FirstSeen
 }
 
-// suspect returns the one waiting job with early losses that may start now, or an empty key; the lock is held. Such jobs start one by one,
-// each after the one before has been seen to run on, or has ended if it was lost late more than once: else those that are lost together start together again, and are lost together
-// again, until sound ones are given up beside the one that crashes their workers.
-func (k *Keeper) suspect(now time.Time) string {
+// nextSuspect returns the key of the one waiting job with losses that may start now, or "". The caller holds c.mu.
+//
+// Jobs with losses start one at a time: the next one waits until the last one has run for suspectRunTime. If that
+// one had exclusiveAfter late losses, the next one waits until it ends. Otherwise jobs that were lost together would
+// start and be lost together again, until sound jobs are failed beside the one that crashes their workers.
+func (c *Keeper) nextSuspect(now time.Time) string {
 	var waiting []string
-	for _, e := range k.Book.Jobs() {
-		if e.Losses == 0 {
+	for _, j := range c.Book.Jobs() {
+		if j.Losses == 0 {
 			continue
 		}
-		key := e.Key()
-		_, resting := k.resting[key]
+		key := j.Key()
+		_, paused := c.pausedUntil[key]
 		switch {
-		case e.LateLosses >= aloneAfter && e.State != settlement.Waiting && !e.Unsettled:
+		case j.LateLosses >= exclusiveAfter && j.State != settlement.Waiting && !j.Unsettled:
 			return ""
-		case k.starts[key] != nil, e.State != settlement.Waiting && now.Sub(e.Learned) < k.apart():
+		case c.pendingStarts[key] != nil, j.State != settlement.Waiting && now.Sub(j.FirstSeen) < c.suspectRunTime():
 			return ""
-		case e.State == settlement.Waiting && !resting && !k.busy[key]:
+		case j.State == settlement.Waiting && !paused && !c.busy[key]:
 			waiting = append(waiting, key)
 		}
 	}
 	if len(waiting) == 0 {
 		return ""
 	}
-	return waiting[rand.IntN(len(waiting))] // One that finds no room keeps no other from its turn.
+	// Random, so that a job without free capacity does not block the others.
+	return waiting[rand.IntN(len(waiting))]
 }
 
-// apart is the time after which an attempt that still runs was listed as past its early age.
-func (k *Keeper) apart() time.Duration { return earlyLoss + 2*k.Settings.Lease.Renew }
+// suspectRunTime is the time after which reports show that an attempt has outlived earlyLossMaxAge.
+func (c *Keeper) suspectRunTime() time.Duration { return earlyLossMaxAge + 2*c.Settings.Lease.Renew }
--- a/internal/hall/loss_test.go
+++ b/internal/hall/loss_test.go
@@ -10,27 +10,28 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// lossOf has the loss of an attempt's first worker judged, of a gang that was heard of there for a time.
-func lossOf(k *Keeper, id string, ran time.Duration, before int, workers ...string) (counts, late bool) {
+// classifyTestLoss classifies the loss of the first worker of an attempt that has run for a given time.
+func classifyTestLoss(c *Keeper, id string, ran time.Duration, before int, workers ...string) (counts, late bool) {
 	now := time.Now()
-	e := &Entry{Learned: now.Add(-ran), Job: settlement.Job{Identity: request.Identity{Caller: "clerk", ID: id}, Started: now.Add(-ran), Attempt: id, Losses: before}}
+	j := &Entry{FirstSeen: now.Add(-ran), Job: settlement.Job{Identity: request.Identity{Caller: "clerk", ID: id}, Started: now.Add(-ran), Attempt: id, Losses: before}}
 	for _, name := range workers {
-		e.Seats = append(e.Seats, settlement.Seat{Worker: name})
+		j.Seats = append(j.Seats, settlement.Seat{Worker: name})
 	}
-	k.watch.mu.Lock()
-	k.watch.worker(workers[0]).listed[id] = now
-	k.watch.mu.Unlock()
-	sights := make([]settlement.Sight, len(workers))
-	sights[0].Lost = true
-	return k.judgeLoss(e, sights)
+	c.monitor.mu.Lock()
+	c.monitor.worker(workers[0]).lastLive[id] = now
+	c.monitor.mu.Unlock()
+	states := make([]settlement.Sight, len(workers))
+	states[0].Lost = true
+	return c.classifyLoss(j, states)
 }
 
-// TestLateLosses holds when the loss of a worker counts against the gang that ran there: soon after its start always, later only where it is hardly chance.
-func TestLateLosses(t *testing.T) {
+// TestLossAttribution guards against jobs that are blamed for workers lost to another cause, and against jobs that
+// crash workers without being blamed. An early loss always counts; a late one only if chance hardly explains it.
+func TestLossAttribution(t *testing.T) {
 	for name, c := range map[string]struct {
-		ran, watched time.Duration // watched is for how long ten workers were.
-		lost         float64       // Of those, in that time.
-		others       []string      // Workers that were lost under others a moment before.
+		ran, watched time.Duration // How long the attempt ran, and how long ten workers were monitored.
+		lost         float64       // How many of these ten workers were lost in that time.
+		others       []string      // Workers of other jobs that were lost a moment before.
 		counts, late bool
 	}{
 		"at once":                            {ran: time.Second, lost: 1000, counts: true},
@@ -41,26 +42,27 @@
 		"late, with two others":              {ran: time.Minute, watched: time.Hour, others: []string{"x", "y"}, counts: true, late: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := &Keeper{}
-			k.losses.Background = loss.Background{Lost: c.lost, Watched: 10 * c.watched.Seconds()}
+			controller := &Keeper{}
+			controller.losses.Background = loss.Background{Lost: c.lost, Watched: 10 * c.watched.Seconds()}
 			for _, other := range c.others {
-				lossOf(k, "of "+other, time.Minute, 0, other)
+				classifyTestLoss(controller, "of "+other, time.Minute, 0, other)
 			}
-			counts, late := lossOf(k, "a", c.ran, 0, "w1", "w2")
+			counts, late := classifyTestLoss(controller, "a", c.ran, 0, "w1", "w2")
 			qt.Check(t, counts, qt.Equals, c.counts)
 			qt.Check(t, late, qt.Equals, c.late)
 		})
 	}
 }
 
-// TestLostTogether: workers that are lost within moments count once, and those of a suspect gang not at all.
-func TestLostTogether(t *testing.T) {
-	k := &Keeper{}
+// TestSimultaneousLossesCountOnce fails if workers that are lost within moments count as several background losses,
+// or if the loss of a suspect gang counts as one at all.
+func TestSimultaneousLossesCountOnce(t *testing.T) {
+	c := &Keeper{}
 	for _, name := range []string{"w1", "w2", "w3"} {
-		lossOf(k, "of "+name, time.Minute, 0, name)
+		classifyTestLoss(c, "of "+name, time.Minute, 0, name)
 	}
-	qt.Check(t, k.losses.Lost, qt.Equals, 1.0)
-	k = &Keeper{}
-	lossOf(k, "suspect", time.Minute, 1, "w4")
-	qt.Check(t, k.losses.Lost, qt.Equals, 0.0)
+	qt.Check(t, c.losses.Lost, qt.Equals, 1.0)
+	c = &Keeper{}
+	classifyTestLoss(c, "suspect", time.Minute, 1, "w4")
+	qt.Check(t, c.losses.Lost, qt.Equals, 0.0)
 }
--- a/internal/hall/pass.go
+++ b/internal/hall/pass.go
@@ -12,33 +12,33 @@
 	"github.com/rs/xid"
 )
 
-// pass asks the decider and sets going what it decides.
-func (k *Keeper) pass(ctx context.Context) {
+// decide makes one decision pass and starts to carry out the decisions.
+func (c *Keeper) decide(ctx context.Context) {
 	began := time.Now()
-	site, orders := k.Config.Site(), k.Config.Orders()
+	site, orders := c.Config.Site(), c.Config.Orders()
 	site = withGrants(site, orders.Granted, began)
-	loads := k.Loads() // Before the lock: it reads the loads of all keepers, this one's included.
-	k.mu.Lock()
-	k.wakeRested(began)
-	v := k.view(site, orders, loads, began)
-	outcome := k.Policy.Decide(v)
-	k.setAsides = outcome.SetAsides
-	k.load = loadOf(k.Hall, v)
-	k.noteWaits(v, outcome.Waits)
-	placements := k.prepare(v, outcome.Decisions)
-	k.mu.Unlock()
-	if k.Metrics != nil && k.Metrics.Pass != nil {
-		k.Metrics.Pass(time.Since(began))
+	loads := c.Loads() // Before locking: Loads reads the loads of all halls, this one's included.
+	c.mu.Lock()
+	c.dropEndedPauses(began)
+	v := c.buildView(site, orders, loads, began)
+	outcome := c.Policy.Decide(v)
+	c.reservedRacks = outcome.SetAsides
+	c.load = loadOf(c.Hall, v)
+	c.recordWaitReasons(v, outcome.Waits)
+	starts := c.prepareStarts(v, outcome.Decisions)
+	c.mu.Unlock()
+	if c.Metrics != nil && c.Metrics.Pass != nil {
+		c.Metrics.Pass(time.Since(began))
 	}
-	for rack, list := range placements {
-		go k.place(ctx, rack, list)
+	for rack, list := range starts {
+		go c.startInRack(ctx, rack, list)
 	}
-	k.carryOut(ctx, outcome.Decisions)
-	k.expire(ctx, v)
-	k.move(ctx, v, loads, outcome.Waits)
+	c.applyDecisions(ctx, outcome.Decisions)
+	c.settleExpired(ctx, v)
+	c.move(ctx, v, loads, outcome.Waits)
 }
 
-// withGrants returns the site with the limits that operators raised.
+// withGrants returns the site with the workspace limits that operators raised.
 func withGrants(site *contract.Site, granted func(string, time.Time) int, now time.Time) *contract.Site {
 	raised := *site
 	raised.Workspaces = append([]contract.Workspace(nil), site.Workspaces...)
@@ -51,46 +51,46 @@
 	return &raised
 }
 
-func (k *Keeper) noteWaits(v *decider.View, waits []decider.Wait) {
-	k.waits = make(map[string]*decider.Reason, len(waits))
+func (c *Keeper) recordWaitReasons(v *decider.View, waits []decider.Wait) {
+	c.waitReasons = make(map[string]*decider.Reason, len(waits))
 	for _, w := range waits {
-		k.waits[v.Waiting[w.Job].Key] = w.Reason
+		c.waitReasons[v.Waiting[w.Job].Key] = w.Reason
 	}
 }
 
-// prepare turns decisions to start into placements with devices, by rack; the lock is held. A rack with a placement
-// under way is left for a later pass, because its row can be written by one transaction at a time only.
-func (k *Keeper) prepare(v *decider.View, decisions []decider.Decision) map[string][]*placement {
-	taken := k.takenDevices()
-	racks := map[string][]*placement{}
+// prepareStarts assigns devices to the decided starts and returns them by rack. The caller holds c.mu. Racks with
+// starts in progress wait for a later pass, because only one transaction at a time can write a rack's row.
+func (c *Keeper) prepareStarts(v *decider.View, decisions []decider.Decision) map[string][]*pendingStart {
+	taken := c.takenDevices()
+	racks := map[string][]*pendingStart{}
 	for _, d := range decisions {
 		if d.Kind != decider.Start {
 			continue
 		}
-		e := k.Book.Job(d.Job)
+		j := c.Book.Job(d.Job)
 		rack := v.Racks[v.Workers[d.Members[0].Worker].Rack].Name
-		if e == nil || e.State != settlement.Waiting || k.rackBusy[rack] {
+		if j == nil || j.State != settlement.Waiting || c.busyRacks[rack] {
 			continue
 		}
-		p := &placement{entry: e, rack: rack, reason: d.Reason, attempt: fmt.Sprintf("%s#%d.%s", e.Key(), e.Number+1, xid.New())}
-		if !p.seat(v, d.Members, taken) {
+		p := &pendingStart{job: j, rack: rack, reason: d.Reason, attempt: fmt.Sprintf("%s#%d.%s", j.Key(), j.Number+1, xid.New())}
+		if !p.assignDevices(v, d.Members, taken) {
 			continue
 		}
-		k.starts[d.Job] = p
-		k.busy[d.Job] = true
+		c.pendingStarts[d.Job] = p
+		c.busy[d.Job] = true
 		racks[rack] = append(racks[rack], p)
 	}
 	for rack := range racks {
-		k.rackBusy[rack] = true
+		c.busyRacks[rack] = true
 	}
 	return racks
 }
 
-// takenDevices returns the devices that rows and placements under way hold, by worker.
-func (k *Keeper) takenDevices() map[string]map[int]bool {
+// takenDevices returns the devices that job rows and pending starts use, by worker.
+func (c *Keeper) takenDevices() map[string]map[int]bool {
 	taken := map[string]map[int]bool{}
-	add := func(seats []settlement.Seat) {
-		for _, s := range seats {
+	add := func(placements []settlement.Seat) {
+		for _, s := range placements {
 			if taken[s.Worker] == nil {
 				taken[s.Worker] = map[int]bool{}
 			}
@@ -99,24 +99,25 @@
 			}
 		}
 	}
-	for _, e := range k.Book.Jobs() {
-		if !e.Unsettled { // Nothing of it runs any more.
-			add(e.Seats)
+	for _, j := range c.Book.Jobs() {
+		if !j.Unsettled { // Nothing of an unsettled job runs any more.
+			add(j.Seats)
 		}
 	}
-	for _, p := range k.starts {
-		add(p.seats)
+	for _, p := range c.pendingStarts {
+		add(p.placements)
 	}
 	return taken
 }
 
-// seat picks the devices for each worker and numbers the members; it takes all or nothing.
-func (p *placement) seat(v *decider.View, members []decider.Member, taken map[string]map[int]bool) bool {
+// assignDevices chooses the devices at each worker and numbers the members. It reports false, and marks no device as
+// taken, if the devices of any worker don't suffice.
+func (p *pendingStart) assignDevices(v *decider.View, members []decider.Member, taken map[string]map[int]bool) bool {
 	next := 0
 	for _, m := range members {
 		w := v.Workers[m.Worker]
 		s := settlement.Seat{Worker: w.Name}
-		s.Devices = devices(w.Capacity.Accelerators, m.Count*p.entry.Submission.Shape.Accelerators, taken[w.Name])
+		s.Devices = devices(w.Capacity.Accelerators, m.Count*p.job.Submission.Shape.Accelerators, taken[w.Name])
 		if s.Devices == nil {
 			return false
 		}
@@ -124,9 +125,9 @@
 			s.Members = append(s.Members, next)
 			next++
 		}
-		p.seats = append(p.seats, s)
+		p.placements = append(p.placements, s)
 	}
-	for _, s := range p.seats {
+	for _, s := range p.placements {
 		if taken[s.Worker] == nil {
 			taken[s.Worker] = map[int]bool{}
 		}
@@ -137,123 +138,123 @@
 	return true
 }
 
-// carryOut sets going the decisions other than starts.
-func (k *Keeper) carryOut(ctx context.Context, decisions []decider.Decision) {
+// applyDecisions starts to carry out all decisions except starts.
+func (c *Keeper) applyDecisions(ctx context.Context, decisions []decider.Decision) {
 	for _, d := range decisions {
-		e := k.Book.Job(d.Job)
-		if e == nil {
+		j := c.Book.Job(d.Job)
+		if j == nil {
 			continue
 		}
 		switch d.Kind {
 		case decider.Stop:
 			halt := settlement.Halt{Reason: d.Reason.String(), AtOnce: d.AtOnce}
-			k.spawn(e.Key(), func() { k.halt(ctx, e, halt) })
+			c.runStep(j.Key(), func() { c.stop(ctx, j, halt) })
 		case decider.GiveUp:
-			k.spawn(e.Key(), func() { k.settle(ctx, e, verdict{outcome: e.Unrun(), reason: d.Reason.String()}) })
+			c.runStep(j.Key(), func() { c.settle(ctx, j, result{outcome: j.Unrun(), reason: d.Reason.String()}) })
 		}
 	}
 }
 
-// expire settles jobs whose deadline passed while they waited.
-func (k *Keeper) expire(ctx context.Context, v *decider.View) {
+// settleExpired settles jobs whose deadline passed while they waited.
+func (c *Keeper) settleExpired(ctx context.Context, v *decider.View) {
 	for i := range v.Waiting {
-		e := k.Book.Job(v.Waiting[i].Key)
-		if e == nil || e.State != settlement.Waiting {
+		j := c.Book.Job(v.Waiting[i].Key)
+		if j == nil || j.State != settlement.Waiting {
 			continue
 		}
-		deadline := e.Submission.Deadline(e.Received)
+		deadline := j.Submission.Deadline(j.Received)
 		if !deadline.IsZero() && v.Now.After(deadline) {
-			k.spawn(e.Key(), func() {
-				k.settle(ctx, e, verdict{outcome: e.Unrun(), reason: "its deadline passed before it could start"})
+			c.runStep(j.Key(), func() {
+				c.settle(ctx, j, result{outcome: j.Unrun(), reason: "its deadline passed before it could start"})
 			})
 		}
 	}
 }
 
-// spawn runs one step of a job on its own, unless the job has one under way.
-func (k *Keeper) spawn(key string, step func()) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.busy[key] || time.Now().Before(k.resting[key]) {
+// runStep runs one step of a job in a goroutine, unless the job is busy or paused.
+func (c *Keeper) runStep(key string, step func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.busy[key] || time.Now().Before(c.pausedUntil[key]) {
 		return
 	}
-	k.busy[key] = true
+	c.busy[key] = true
 	go func() {
-		defer k.Wake()
-		defer k.idle(key)
+		defer c.Wake()
+		defer c.stepDone(key)
 		step()
 	}()
 }
 
-// Rests of a job between two steps, so that what fails at once is not tried again at once.
+// Pauses of a job between two steps, so that a step that fails immediately is not retried immediately.
 const (
-	restAfterStep = 50 * time.Millisecond
-	restAfterHold = 500 * time.Millisecond // Its devices were refused, or their commit failed.
+	pauseAfterStep       = 50 * time.Millisecond
+	pauseAfterFailedHold = 500 * time.Millisecond // The devices were refused, or the commit failed.
 )
 
-func (k *Keeper) idle(key string) { k.rest(key, restAfterStep) }
+func (c *Keeper) stepDone(key string) { c.endStep(key, pauseAfterStep) }
 
-// rest ends a step of a job and keeps the job from the next one for a while.
-func (k *Keeper) rest(key string, d time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.busy, key)
-	delete(k.starts, key)
-	k.resting[key] = time.Now().Add(d)
+// endStep marks a job as no longer busy and pauses it for a duration.
+func (c *Keeper) endStep(key string, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.busy, key)
+	delete(c.pendingStarts, key)
+	c.pausedUntil[key] = time.Now().Add(d)
 }
 
-// wakeRested forgets the rests that are over; the lock is held.
-func (k *Keeper) wakeRested(now time.Time) {
-	for key, until := range k.resting {
+// dropEndedPauses removes pauses that have ended. The caller holds c.mu.
+func (c *Keeper) dropEndedPauses(now time.Time) {
+	for key, until := range c.pausedUntil {
 		if !now.Before(until) {
-			delete(k.resting, key)
+			delete(c.pausedUntil, key)
 		}
 	}
 }
 
-// judgeAll looks at every attempt and sets going what it needs next.
-func (k *Keeper) judgeAll(ctx context.Context) {
-	for _, e := range k.Book.Jobs() {
-		if e.State == settlement.Waiting || k.isBusy(e.Key()) {
+// checkAttempts checks the state of every attempt and starts the next step that it needs.
+func (c *Keeper) checkAttempts(ctx context.Context) {
+	for _, j := range c.Book.Jobs() {
+		if j.State == settlement.Waiting || c.isBusy(j.Key()) {
 			continue
 		}
-		sights := k.watch.sights(e, k.bounds())
-		step := settlement.Judge(&e.Job, sights)
+		states := c.monitor.workerStates(j, c.timeLimits())
+		step := settlement.Judge(&j.Job, states)
 		switch step {
 		case settlement.Keep:
-			if e.State == settlement.Stopping {
-				k.spawn(e.Key(), func() { k.stopSeats(ctx, e) })
+			if j.State == settlement.Stopping {
+				c.runStep(j.Key(), func() { c.stopWorkers(ctx, j) })
 			}
 		case settlement.Push:
-			k.spawn(e.Key(), func() { k.launch(ctx, &e.Job) })
+			c.runStep(j.Key(), func() { c.launch(ctx, &j.Job) })
 		case settlement.End:
 			halt := settlement.Halt{Reason: "a member was lost or failed", AtOnce: true, Lost: true}
-			k.spawn(e.Key(), func() { k.halt(ctx, e, halt) })
+			c.runStep(j.Key(), func() { c.stop(ctx, j, halt) })
 		case settlement.Again:
-			k.spawn(e.Key(), func() { k.requeue(ctx, e, sights) })
+			c.runStep(j.Key(), func() { c.requeue(ctx, j, states) })
 		default:
 			outcome, _ := step.Outcome()
-			if e.Unsettled && outcome == request.Unresolved && k.mayBeListed(e, sights) {
+			if j.Unsettled && outcome == request.Unresolved && c.mayStillReport(j, states) {
 				continue
 			}
-			k.spawn(e.Key(), func() { k.finish(ctx, e, sights, outcome) })
+			c.runStep(j.Key(), func() { c.finish(ctx, j, states, outcome) })
 		}
 	}
 }
 
-func (k *Keeper) isBusy(key string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.busy[key] || time.Now().Before(k.resting[key])
+func (c *Keeper) isBusy(key string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.busy[key] || time.Now().Before(c.pausedUntil[key])
 }
 
-// outcomeReason puts an outcome of an attempt into words.
-func outcomeReason(e *Entry, outcome request.Outcome) string {
+// outcomeReason returns the reason that callers are given for an outcome, or "".
+func outcomeReason(j *Entry, outcome request.Outcome) string {
 	if outcome == request.Unresolved {
 		return settlement.ReasonUnknowable
 	}
-	if e.Halt != nil && outcome != request.Done {
-		return e.Halt.Reason
+	if j.Halt != nil && outcome != request.Done {
+		return j.Halt.Reason
 	}
 	if outcome == request.Failed {
 		return "it ran in part and may not be repeated"
--- a/internal/hall/renewal.go
+++ b/internal/hall/renewal.go
@@ -10,75 +10,78 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// renewTurn renews the leases at every worker and takes in their reports, where this box decides.
-func (k *Keeper) renewTurn(ctx context.Context) {
-	if k.active() {
-		k.renewAll(ctx)
-		k.Wake()
+// renewIfActive renews the leases at all workers and records their reports, if this box decides for the hall.
+func (c *Keeper) renewIfActive(ctx context.Context) {
+	if c.active() {
+		c.renewAll(ctx)
+		c.Wake()
 	}
 }
 
-// renewAll sends one message to each worker.
-func (k *Keeper) renewAll(ctx context.Context) {
-	clocks := k.watch.clocks() // Before the rows are looked at: a lease that is renewed by them ends run_ms after that at the latest.
-	whole := k.wholeAttempts()
-	checked := k.checked() // Before the rows are listed, which are as new or newer.
+// renewAll sends one renewal to each worker.
+func (c *Keeper) renewAll(ctx context.Context) {
+	// Read the clocks before the rows: the leases renewed by these rows end at most run_ms after these clocks.
+	clocks := c.monitor.clocks()
+	healthy := c.healthyAttempts()
+	checked := c.checked() // Before the jobs are listed, so that they are at least as new.
 	current := map[string]bool{}
-	for _, e := range k.Book.Jobs() {
-		current[e.Attempt] = true
+	for _, j := range c.Book.Jobs() {
+		current[j.Attempt] = true
 	}
-	k.missUnlisted()
+	c.failUnlistedWorkers()
 	var group sync.WaitGroup
-	for _, w := range k.workers() {
+	for _, w := range c.workers() {
 		group.Go(func() {
-			k.renew(ctx, w, worker.Renewal{
+			c.renew(ctx, w, worker.Renewal{
 				Clock:    clocks[w.Name],
-				Attempts: whole[w.Name],
-				Forget:   k.watch.orphaned(w.Name, current, checked),
-				LeaseMS:  k.Settings.Lease.Run.Milliseconds(),
+				Attempts: healthy[w.Name],
+				Forget:   c.monitor.orphanedTasks(w.Name, current, checked),
+				LeaseMS:  c.Settings.Lease.Run.Milliseconds(),
 			})
 		})
 	}
 	group.Wait()
 }
 
-// missUnlisted counts workers that rows name and the configuration does not as silent: they can't be asked.
-func (k *Keeper) missUnlisted() {
-	listed := k.workersByName()
-	for _, e := range k.Book.Jobs() {
-		for _, seat := range e.Seats {
-			if _, ok := listed[seat.Worker]; !ok {
-				k.watch.fail(seat.Worker, time.Now(), k.Settings.Lease.Run)
+// failUnlistedWorkers records a failed report for workers that rows name but the configuration does not, because
+// they can't be asked.
+func (c *Keeper) failUnlistedWorkers() {
+	listed := c.workersByName()
+	for _, j := range c.Book.Jobs() {
+		for _, placement := range j.Seats {
+			if _, ok := listed[placement.Worker]; !ok {
+				c.monitor.recordFailure(placement.Worker, time.Now(), c.Settings.Lease.Run)
 			}
 		}
 	}
 }
 
-// wholeAttempts returns, by worker, the running attempts whose members are all well; only these are renewed, so that
-// a gang that lost a member ends whole, and only while the rows that say so are not too old.
-func (k *Keeper) wholeAttempts() map[string][]string {
+// healthyAttempts returns, by worker, the started attempts whose members are all healthy. Only these are renewed, so
+// that a gang that lost a member ends as a whole. If the cached rows are too old, it returns none.
+func (c *Keeper) healthyAttempts() map[string][]string {
 	list := map[string][]string{}
-	if age(k.checked()) > k.Settings.Lease.Unchecked {
+	if age(c.checked()) > c.Settings.Lease.Unchecked {
 		return list
 	}
-	for _, e := range k.Book.Jobs() {
-		if e.State != settlement.Starting || !k.whole(e) {
+	for _, j := range c.Book.Jobs() {
+		if j.State != settlement.Starting || !c.healthy(j) {
 			continue
 		}
-		for _, seat := range e.Seats {
-			list[seat.Worker] = append(list[seat.Worker], e.Attempt)
+		for _, placement := range j.Seats {
+			list[placement.Worker] = append(list[placement.Worker], j.Attempt)
 		}
 	}
 	return list
 }
 
-// age is how long ago an instant was, by the clock that says more: one of them may stand still with a machine that is suspended.
+// age returns the time since at, by the monotonic or the wall clock, whichever shows more. One of them may stop
+// while the machine is suspended.
 func age(at time.Time) time.Duration {
 	return max(time.Since(at), time.Now().Round(0).Sub(at.Round(0)))
 }
 
-func (k *Keeper) whole(e *Entry) bool {
-	for _, s := range k.watch.sights(e, k.bounds()) {
+func (c *Keeper) healthy(j *Entry) bool {
+	for _, s := range c.monitor.workerStates(j, c.timeLimits()) {
 		if s.Known && !s.Task.State.Live() && s.Task.State != worker.Finished {
 			return false
 		}
@@ -86,57 +89,59 @@
 			return false
 		}
 	}
-	return k.heardWithin(e, k.Settings.Lease.Run/2)
+	return c.reportedWithin(j, c.Settings.Lease.Run/2)
 }
 
-// heardWithin reports whether every worker of an attempt was heard lately, or the attempt or the watch is as young.
-func (k *Keeper) heardWithin(e *Entry, d time.Duration) bool {
-	k.watch.mu.Lock()
-	since := k.watch.since
-	k.watch.mu.Unlock()
-	if time.Since(e.Started) <= d || time.Since(since) <= d {
+// reportedWithin reports whether every worker of an attempt reported within d. It also returns true if the attempt
+// or the monitor started less than d ago.
+func (c *Keeper) reportedWithin(j *Entry, d time.Duration) bool {
+	c.monitor.mu.Lock()
+	since := c.monitor.since
+	c.monitor.mu.Unlock()
+	if time.Since(j.Started) <= d || time.Since(since) <= d {
 		return true
 	}
-	for _, seat := range e.Seats {
-		if !k.watch.reachable(seat.Worker, d) {
+	for _, placement := range j.Seats {
+		if !c.monitor.reachable(placement.Worker, d) {
 			return false
 		}
 	}
 	return true
 }
 
-func (k *Keeper) renew(ctx context.Context, w contract.Worker, renewal worker.Renewal) {
+func (c *Keeper) renew(ctx context.Context, w contract.Worker, renewal worker.Renewal) {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	asked := time.Now()
-	report, err := k.Workers.Renew(ctx, w, renewal)
+	report, err := c.Workers.Renew(ctx, w, renewal)
 	if err != nil {
-		k.watch.fail(w.Name, asked, k.Settings.Lease.Run)
+		c.monitor.recordFailure(w.Name, asked, c.Settings.Lease.Run)
 		return
 	}
-	k.watch.take(w.Name, asked, report)
+	c.monitor.recordReport(w.Name, asked, report)
 }
 
-// orphaned returns the ended tasks of a worker that no row has named for a while; current holds those that rows name, as of checked. A row that
-// this box has not read yet may name a task, and its answer must last until that row settles it.
-func (s *watch) orphaned(name string, current map[string]bool, checked time.Time) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	w := s.worker(name)
+// orphanedTasks returns, and forgets, the ended tasks of a worker that no row has named for orphanRetention. current
+// holds the attempts that rows name, as of checked. A task must be kept that long because a row that this box has
+// not read yet may name it, and its answer must last until that row settles it.
+func (m *workerMonitor) orphanedTasks(name string, current map[string]bool, checked time.Time) []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	w := m.worker(name)
 	var list []string
 	for attempt, t := range w.tasks {
 		if current[attempt] || t.State.Live() {
-			delete(w.orphans, attempt)
+			delete(w.orphanedSince, attempt)
 			continue
 		}
-		first, seen := w.orphans[attempt]
+		first, seen := w.orphanedSince[attempt]
 		if !seen {
-			w.orphans[attempt] = time.Now()
+			w.orphanedSince[attempt] = time.Now()
 			continue
 		}
-		if checked.Sub(first) > orphanAfter {
+		if checked.Sub(first) > orphanRetention {
 			list = append(list, attempt)
-			delete(w.orphans, attempt)
+			delete(w.orphanedSince, attempt)
 			delete(w.tasks, attempt)
 		}
 	}
--- a/internal/hall/settle.go
+++ b/internal/hall/settle.go
@@ -18,79 +18,81 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// writeTimeout bounds one attempt at a row; what stays open is judged anew from the rows.
+// writeTimeout is the timeout for writing a row. After a failure, the next pass decides again from the rows.
 const writeTimeout = 10 * time.Second
 
-// settlePause is the mean pause after a settlement that could not be written.
-const settlePause = 500 * time.Millisecond
+// settleRetryPause is the mean pause after a settlement could not be written.
+const settleRetryPause = 500 * time.Millisecond
 
-// halt writes that an attempt is to stop and then stops it; nothing is stopped that no row says to stop.
-func (k *Keeper) halt(ctx context.Context, e *Entry, halt settlement.Halt) {
-	next, err := e.Job.Stop(halt)
+// stop commits that an attempt must stop, and then stops it. It stops nothing if the commit fails.
+func (c *Keeper) stop(ctx context.Context, j *Entry, stop settlement.Halt) {
+	next, err := j.Job.Stop(stop)
 	if err != nil {
 		return
 	}
-	revision, err := k.write(ctx, e, next, table.Reclaim)
+	revision, err := c.write(ctx, j, next, table.Reclaim)
 	if err != nil {
 		return
 	}
-	k.note(e.Key(), e.Attempt, "told to stop: "+halt.Reason)
-	k.stopSeats(ctx, &Entry{Job: next, Version: revision})
+	c.recordEvent(j.Key(), j.Attempt, "told to stop: "+stop.Reason)
+	c.stopWorkers(ctx, &Entry{Job: next, Version: revision})
 }
 
-// write commits a job's row in place of the version that the entry has.
-func (k *Keeper) write(ctx context.Context, e *Entry, next settlement.Job, priority table.Priority) (int64, error) {
+// write replaces a job's row if it still has the version of j, and returns the new version.
+func (c *Keeper) write(ctx context.Context, j *Entry, next settlement.Job, priority table.Priority) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	key := settlement.JobKey(k.Hall, e.Identity)
-	revision, err := k.Committer.Do(ctx, table.Op{
+	key := settlement.JobKey(c.Hall, j.Identity)
+	revision, err := c.Committer.Do(ctx, table.Op{
 		Priority: priority,
-		Checks:   []table.Check{{Key: key, Version: e.Version}},
+		Checks:   []table.Check{{Key: key, Version: j.Version}},
 		Writes:   []table.Write{table.Put(key, next)},
 	})
 	if err != nil {
-		k.Stale()
+		c.Stale()
 		return 0, err
 	}
-	k.Book.Put(next, revision)
+	c.Book.Put(next, revision)
 	return revision, nil
 }
 
-// stopSeats checkpoints the members where there is time for it and stops them.
-func (k *Keeper) stopSeats(ctx context.Context, e *Entry) {
-	workers := k.workersByName()
-	if e.Submission.Checkpoints && !e.Halt.AtOnce {
-		k.stepSeats(ctx, workers, e.Seats, worker.Checkpoint, e.Attempt, 0)
+// stopWorkers stops an attempt at all its workers, after a checkpoint if the job has checkpoints and need not stop
+// at once.
+func (c *Keeper) stopWorkers(ctx context.Context, j *Entry) {
+	workers := c.workersByName()
+	if j.Submission.Checkpoints && !j.Halt.AtOnce {
+		c.sendStep(ctx, workers, j.Seats, worker.Checkpoint, j.Attempt, 0)
 	}
-	if !k.stepSeats(ctx, workers, e.Seats, worker.Stop, e.Attempt, 0) {
-		interval.Sleep(ctx, stepTimeout/2) // Some could not be reached; the next try comes after a pause.
+	if !c.sendStep(ctx, workers, j.Seats, worker.Stop, j.Attempt, 0) {
+		interval.Sleep(ctx, stepTimeout/2) // Some workers could not be reached; the next pass retries.
 	}
 }
 
-// requeue writes that the job waits again, with what its checkpoint holds.
-func (k *Keeper) requeue(ctx context.Context, e *Entry, sights []settlement.Sight) {
+// requeue commits that the job waits again, with the progress of its last checkpoint.
+func (c *Keeper) requeue(ctx context.Context, j *Entry, states []settlement.Sight) {
 	done := 0.0
-	if e.Submission.Checkpoints {
-		done = settlement.Saved(sights)
+	if j.Submission.Checkpoints {
+		done = settlement.Saved(states)
 	}
-	next, err := e.Job.Requeue(done, ranAny(sights))
+	next, err := j.Job.Requeue(done, mayHaveRun(states))
 	if err != nil {
 		return
 	}
-	next.Failures = k.noteFailures(e, sights)
-	if counts, late := k.judgeLoss(e, sights); counts && len(next.Failures) == len(e.Failures) {
+	next.Failures = c.recordFailures(j, states)
+	if counts, late := c.classifyLoss(j, states); counts && len(next.Failures) == len(j.Failures) {
 		next.Losses++
 		if late {
 			next.LateLosses++
 		}
 	}
-	if _, err := k.write(ctx, e, next, table.Settle); err == nil {
-		k.note(e.Key(), e.Attempt, "waits again")
+	if _, err := c.write(ctx, j, next, table.Settle); err == nil {
+		c.recordEvent(j.Key(), j.Attempt, "waits again")
 	}
 }
 
-func ranAny(sights []settlement.Sight) bool {
-	for _, s := range sights {
+// mayHaveRun reports whether any member ran or may have run.
+func mayHaveRun(states []settlement.Sight) bool {
+	for _, s := range states {
 		if !s.Known || s.Task.State.Ran() || s.Task.State == worker.Unknown {
 			return true
 		}
@@ -98,56 +100,58 @@
 	return false
 }
 
-// noteFailures tells the health which workers failed a member and returns the job's list with them.
-func (k *Keeper) noteFailures(e *Entry, sights []settlement.Sight) []string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	list := e.Failures
-	for i, s := range sights {
+// recordFailures adds failed members to the health of their workers. It returns the job's list of failures, extended
+// by these workers.
+func (c *Keeper) recordFailures(j *Entry, states []settlement.Sight) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	list := j.Failures
+	for i, s := range states {
 		if s.Known && s.Task.State == worker.Failed {
-			k.known[e.Key()] = true
-			k.health.Failed(e.Seats[i].Worker, e.Key(), time.Now())
-			list = append(list[:len(list):len(list)], e.Seats[i].Worker)
+			c.failuresLoaded[j.Key()] = true
+			c.health.Failed(j.Seats[i].Worker, j.Key(), time.Now())
+			list = append(list[:len(list):len(list)], j.Seats[i].Worker)
 		}
 	}
 	return list
 }
 
 // finish settles a job whose attempt has ended.
-func (k *Keeper) finish(ctx context.Context, e *Entry, sights []settlement.Sight, outcome request.Outcome) {
+func (c *Keeper) finish(ctx context.Context, j *Entry, states []settlement.Sight, outcome request.Outcome) {
 	var answer json.RawMessage
 	if outcome == request.Done {
-		answer = settlement.Answers(sights)
-		k.learn(e, sights)
+		answer = settlement.Answers(states)
+		c.recordRunTime(j, states)
 	}
 	if outcome == request.Failed {
-		k.noteFailures(e, sights)
+		c.recordFailures(j, states)
 	}
 	if outcome != request.Done {
-		k.note(e.Key(), e.Attempt, "ended: "+seen(e, sights))
+		c.recordEvent(j.Key(), j.Attempt, "ended: "+describeStates(j, states))
 	}
-	v := verdict{outcome: outcome, answer: answer, reason: outcomeReason(e, outcome)}
-	if outcome == request.Unresolved && k.mayBeListed(e, sights) {
-		left := e.Job
-		left.Unsettled = true
-		v.left = &left
+	r := result{outcome: outcome, answer: answer, reason: outcomeReason(j, outcome)}
+	if outcome == request.Unresolved && c.mayStillReport(j, states) {
+		remaining := j.Job
+		remaining.Unsettled = true
+		r.remainingRow = &remaining
 	}
-	k.settle(ctx, e, v)
+	c.settle(ctx, j, r)
 }
 
-// unsettledFor is how long the row of a gang stays after its caller was told that nobody can find out whether it ran.
-const unsettledFor = 24 * time.Hour
+// unsettledRetention is how long a gang's row is kept after its caller was told that the outcome can't be found out.
+const unsettledRetention = 24 * time.Hour
 
-// mayBeListed reports whether a worker that can't be asked may still list how an attempt ended there, once it is back.
-func (k *Keeper) mayBeListed(e *Entry, sights []settlement.Sight) bool {
-	silent := func(s settlement.Sight) bool { return s.Expired && !s.Traceless }
-	return slices.ContainsFunc(sights, silent) && time.Since(e.Stopping) < unsettledFor
+// mayStillReport reports whether an unreachable worker may still report how the attempt ended there, once it is
+// back.
+func (c *Keeper) mayStillReport(j *Entry, states []settlement.Sight) bool {
+	unreachable := func(s settlement.Sight) bool { return s.Expired && !s.Traceless }
+	return slices.ContainsFunc(states, unreachable) && time.Since(j.StopSeen) < unsettledRetention
 }
 
-// seen puts what is known of the seats into words.
-func seen(e *Entry, sights []settlement.Sight) string {
+// describeStates describes the state of an attempt at each of its workers, for the timeline.
+func describeStates(j *Entry, states []settlement.Sight) string {
 	text := ""
-	for i, s := range sights {
+	for i, s := range states {
 		state := string(s.Task.State)
 		switch {
 		case s.Expired:
@@ -157,137 +161,139 @@
 		case !s.Known:
 			state = "not heard lately"
 		}
-		text += e.Seats[i].Worker + " " + state + "; "
+		text += j.Seats[i].Worker + " " + state + "; "
 	}
 	return text
 }
 
-// learn takes the run time of a finished job into the estimates.
-func (k *Keeper) learn(e *Entry, sights []settlement.Sight) {
+// recordRunTime adds the run time of a finished job to the estimates.
+func (c *Keeper) recordRunTime(j *Entry, states []settlement.Sight) {
 	longest := 0.0
-	for _, s := range sights {
+	for _, s := range states {
 		longest = max(longest, s.Task.RanSeconds)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, seat := range e.Seats {
-		k.health.Succeeded(seat.Worker, e.Key())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, placement := range j.Seats {
+		c.health.Succeeded(placement.Worker, j.Key())
 	}
-	k.estimates.Observe(e.Submission.Workspace, e.Submission.Kind, e.Submission.DeclaredSeconds, e.Done+longest)
+	c.estimates.Observe(j.Submission.Workspace, j.Submission.Kind, j.Submission.DeclaredSeconds, j.Done+longest)
 }
 
-// verdict is what a job is settled with.
-type verdict struct {
-	outcome request.Outcome
-	answer  json.RawMessage
-	reason  string
-	left    *settlement.Job // What stays of the job's row; nil drops it.
+// result is the outcome to settle a job with.
+type result struct {
+	outcome      request.Outcome
+	answer       json.RawMessage
+	reason       string
+	remainingRow *settlement.Job // The job row to keep; nil deletes the row.
 }
 
-// settle writes a job's outcome, drops its row, and tells the box where its caller waits.
-func (k *Keeper) settle(ctx context.Context, e *Entry, v verdict) {
+// settle commits a job's outcome and tells the box where its caller waits. It deletes the job's row, or replaces it
+// by r.remainingRow.
+func (c *Keeper) settle(ctx context.Context, j *Entry, r result) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	reply, revision, err := k.trySettle(ctx, e, v)
+	reply, revision, err := c.trySettle(ctx, j, r)
 	if err != nil {
-		k.Log.Debug("hall: a settlement is open: "+err.Error(), k.field(e))
-		k.Stale()
-		interval.Sleep(ctx, settlePause/2+rand.N(settlePause))
+		c.Log.Debug("hall: unable to commit a settlement; retrying in a later pass: "+err.Error(), c.jobField(j))
+		c.Stale()
+		interval.Sleep(ctx, settleRetryPause/2+rand.N(settleRetryPause))
 		return
 	}
-	if v.left != nil {
-		k.Book.Put(*v.left, revision) // Which keeps it where settledAt drops what is older.
+	if r.remainingRow != nil {
+		c.Book.Put(*r.remainingRow, revision) // Its version keeps finishSettlement from dropping it.
 	}
-	k.settledAt(e, revision, reply)
+	c.finishSettlement(j, revision, reply)
 }
 
-// settledAt notes a committed settlement and tells the box where the caller waits.
-func (k *Keeper) settledAt(e *Entry, revision int64, reply request.Reply) {
-	k.Book.Drop(e.Key(), revision)
-	k.mu.Lock()
-	k.health.Forget(e.Key())
-	k.mu.Unlock()
-	k.note(e.Key(), e.Attempt, "settled: "+string(reply.Outcome))
-	k.Settled(e.Box, link.Settled{Identity: e.Identity, Reply: reply, Round: e.Round})
+// finishSettlement records a committed settlement and tells the box where the caller waits.
+func (c *Keeper) finishSettlement(j *Entry, revision int64, reply request.Reply) {
+	c.Book.Drop(j.Key(), revision)
+	c.mu.Lock()
+	c.health.Forget(j.Key())
+	c.mu.Unlock()
+	c.recordEvent(j.Key(), j.Attempt, "settled: "+string(reply.Outcome))
+	c.Settled(j.Box, link.Settled{Identity: j.Identity, Reply: reply, Round: j.Round})
 }
 
-func (k *Keeper) trySettle(ctx context.Context, e *Entry, v verdict) (request.Reply, int64, error) {
-	requestKey := settlement.RequestKey(e.Identity)
-	jobKey := settlement.JobKey(k.Hall, e.Identity)
-	rows, err := k.Book.Table.Read(ctx, []string{requestKey})
+func (c *Keeper) trySettle(ctx context.Context, j *Entry, r result) (request.Reply, int64, error) {
+	requestKey := settlement.RequestKey(j.Identity)
+	jobKey := settlement.JobKey(c.Hall, j.Identity)
+	rows, err := c.Book.Table.Read(ctx, []string{requestKey})
 	if err != nil {
 		return request.Reply{}, 0, errors.Wrap(err, "hall: unable to read a request")
 	}
 	job := table.Drop(jobKey)
-	if v.left != nil {
-		job = table.Put(jobKey, *v.left)
+	if r.remainingRow != nil {
+		job = table.Put(jobKey, *r.remainingRow)
 	}
-	op := table.Op{Priority: table.Settle, Checks: []table.Check{{Key: jobKey, Version: e.Version}}, Writes: []table.Write{job}}
+	op := table.Op{Priority: table.Settle, Checks: []table.Check{{Key: jobKey, Version: j.Version}}, Writes: []table.Write{job}}
 	var record settlement.Record
 	if err := settlement.Decode(rows[0], &record); err != nil {
 		return request.Reply{}, 0, err
 	}
 	if !record.Outcome.Final() {
-		record, err = record.Settle(v.outcome, v.answer, v.reason)
+		record, err = record.Settle(r.outcome, r.answer, r.reason)
 		if err != nil {
 			return request.Reply{}, 0, err
 		}
-		record.Attempt = e.Number
-		if err := k.storeLarge(ctx, &record); err != nil {
+		record.Attempt = j.Number
+		if err := c.storeLarge(ctx, &record); err != nil {
 			return request.Reply{}, 0, err
 		}
 		op.Checks = append(op.Checks, table.Check{Key: requestKey, Version: rows[0].Version})
 		op.Writes = append(op.Writes, table.Put(requestKey, record))
 	}
-	revision, err := k.Committer.Do(ctx, op)
+	revision, err := c.Committer.Do(ctx, op)
 	reply := record.Reply()
-	reply.Answer = v.answer
+	reply.Answer = r.answer
 	return reply, revision, err
 }
 
 // storeLarge moves an answer that is too large for a row to the object store.
-func (k *Keeper) storeLarge(ctx context.Context, r *settlement.Record) error {
-	key, err := object.PutLarge(ctx, k.Objects, r.Identity.String(), r.Answer, k.Settings.Limits.AnswerInlineBytes)
+func (c *Keeper) storeLarge(ctx context.Context, r *settlement.Record) error {
+	key, err := object.PutLarge(ctx, c.Objects, r.Identity.String(), r.Answer, c.Settings.Limits.AnswerInlineBytes)
 	if key != "" && err == nil {
 		r.Answer, r.AnswerObject = nil, key
 	}
 	return err
 }
 
-// Limits of moves between halls.
+// Limits of moving jobs to other halls.
 const (
 	movesPerPass = 20
-	firstMove    = 3 * time.Second // Wait before the first move; each further one waits as much longer.
+	moveDelay    = 3 * time.Second // Wait before the first move; each further move adds as much.
 )
 
-// move sends waiting jobs that another hall has room for there.
-func (k *Keeper) move(ctx context.Context, v *decider.View, loads []link.Load, waits []decider.Wait) {
+// move moves waiting jobs to halls that have free capacity for them.
+func (c *Keeper) move(ctx context.Context, v *decider.View, loads []link.Load, waits []decider.Wait) {
 	moved := 0
 	for _, w := range waits {
 		if moved == movesPerPass {
 			return
 		}
-		e := k.Book.Job(v.Waiting[w.Job].Key)
-		if e == nil || e.State != settlement.Waiting || v.Now.Sub(e.Received) < firstMove*time.Duration(e.Moves+1) {
+		j := c.Book.Job(v.Waiting[w.Job].Key)
+		if j == nil || j.State != settlement.Waiting || v.Now.Sub(j.Received) < moveDelay*time.Duration(j.Moves+1) {
 			continue
 		}
-		if to := k.roomElsewhere(loads, e); to != "" {
+		if to := c.hallWithCapacity(loads, j); to != "" {
 			moved++
-			k.spawn(e.Key(), func() { k.moveTo(ctx, e, to) })
+			c.runStep(j.Key(), func() { c.moveTo(ctx, j, to) })
 		}
 	}
 }
 
-// roomElsewhere returns a hall that has room for a job now, and takes the room out of the loads.
-func (k *Keeper) roomElsewhere(loads []link.Load, e *Entry) string {
-	need := e.Submission.Gang * e.Submission.Shape.Accelerators
+// hallWithCapacity returns a hall with free capacity for a job and subtracts the job from that hall's load. It
+// returns "" if there is none.
+func (c *Keeper) hallWithCapacity(loads []link.Load, j *Entry) string {
+	need := j.Submission.Gang * j.Submission.Shape.Accelerators
 	for i := range loads {
 		l := &loads[i]
 		room := l.Largest
-		if e.Submission.AtMostOnce && !e.Submission.Checkpoints {
-			room = max(l.Firm, l.PledgeFree[e.Submission.Workspace])
+		if j.Submission.AtMostOnce && !j.Submission.Checkpoints {
+			room = max(l.Firm, l.PledgeFree[j.Submission.Workspace])
 		}
-		if l.Hall == k.Hall || l.Waiting > 0 || room < need || need == 0 {
+		if l.Hall == c.Hall || l.Waiting > 0 || room < need || need == 0 {
 			continue
 		}
 		l.Largest, l.Firm = l.Largest-need, l.Firm-need
@@ -296,11 +302,11 @@
 	return ""
 }
 
-func (k *Keeper) moveTo(ctx context.Context, e *Entry, to string) {
+func (c *Keeper) moveTo(ctx context.Context, j *Entry, to string) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	requestKey := settlement.RequestKey(e.Identity)
-	rows, err := k.Book.Table.Read(ctx, []string{requestKey})
+	requestKey := settlement.RequestKey(j.Identity)
+	rows, err := c.Book.Table.Read(ctx, []string{requestKey})
 	if err != nil {
 		return
 	}
@@ -308,20 +314,20 @@
 	if settlement.Decode(rows[0], &record) != nil || record.Outcome.Final() {
 		return
 	}
-	next := e.Job
+	next := j.Job
 	next.Moves++
 	record.Hall = to
-	from, target := settlement.JobKey(k.Hall, e.Identity), settlement.JobKey(to, e.Identity)
-	revision, err := k.Committer.Do(ctx, table.Op{
+	from, target := settlement.JobKey(c.Hall, j.Identity), settlement.JobKey(to, j.Identity)
+	revision, err := c.Committer.Do(ctx, table.Op{
 		Priority: table.Start,
-		Checks:   []table.Check{{Key: from, Version: e.Version}, {Key: target}, {Key: requestKey, Version: rows[0].Version}},
+		Checks:   []table.Check{{Key: from, Version: j.Version}, {Key: target}, {Key: requestKey, Version: rows[0].Version}},
 		Writes:   []table.Write{table.Drop(from), table.Put(target, next), table.Put(requestKey, record)},
 	})
 	if err != nil {
-		k.Stale()
+		c.Stale()
 		return
 	}
-	k.Book.Drop(e.Key(), revision)
-	k.note(e.Key(), "", "moved to "+to)
-	k.News(settlement.HallPrefix(to))
+	c.Book.Drop(j.Key(), revision)
+	c.recordEvent(j.Key(), "", "moved to "+to)
+	c.News(settlement.HallPrefix(to))
 }
--- a/internal/hall/sight_test.go
+++ b/internal/hall/sight_test.go
@@ -10,91 +10,93 @@
 	"github.com/pulleyring/pulleyring/internal/worker"
 )
 
-// TestStepIsNoReport brings about what once settled an at-most-once gang as unresolved while it ran: two boxes decided
-// for a hall, and the answer to a step of another attempt made the second one believe that the worker had been asked
-// about the gang.
-func TestStepIsNoReport(t *testing.T) {
+// TestStepAnswerIsNotReport guards against settling an at-most-once gang as unresolved while it runs. When two boxes
+// decided for a hall, the second took the answer to a step of another attempt for a report about the gang.
+func TestStepAnswerIsNotReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var s watch
-		s.reset()
-		s.take("w1", time.Now(), worker.Report{})
+		var m workerMonitor
+		m.reset()
+		m.recordReport("w1", time.Now(), worker.Report{})
 		time.Sleep(10 * time.Millisecond)
 		job := settlement.Job{State: settlement.Starting, Attempt: "a#1", Started: time.Now(), Seats: []settlement.Seat{{Worker: "w1"}}}
 		job.Submission.AtMostOnce = true
-		e := &Entry{Job: job, Learned: time.Now()}
-		within := bounds{fresh: time.Second, lease: 4 * time.Second, unchecked: time.Minute}
+		j := &Entry{Job: job, FirstSeen: time.Now()}
+		limits := timeLimits{reportMaxAge: time.Second, lease: 4 * time.Second, rowsMaxAge: time.Minute}
 		time.Sleep(10 * time.Millisecond)
-		s.takeTask("w1", worker.Task{Attempt: "b#1", State: worker.Refused})
-		sights := s.sights(e, within)
-		qt.Assert(t, settlement.Judge(&e.Job, sights), qt.Equals, settlement.Keep)
+		m.recordTask("w1", worker.Task{Attempt: "b#1", State: worker.Refused})
+		states := m.workerStates(j, limits)
+		qt.Assert(t, settlement.Judge(&j.Job, states), qt.Equals, settlement.Keep)
 
 		time.Sleep(10 * time.Millisecond)
-		s.take("w1", time.Now(), worker.Report{})
-		sights = s.sights(e, within)
-		qt.Assert(t, settlement.Judge(&e.Job, sights), qt.Equals, settlement.End)
+		m.recordReport("w1", time.Now(), worker.Report{})
+		states = m.workerStates(j, limits)
+		qt.Assert(t, settlement.Judge(&j.Job, states), qt.Equals, settlement.End)
 
-		time.Sleep(within.lease + leaseMargin + time.Millisecond) // Until its lease is over, what it ran may run on.
-		sights = s.sights(e, within)
-		qt.Assert(t, settlement.Judge(&e.Job, sights), qt.Equals, settlement.Unknown)
+		// Until its lease expires, the gang may still run.
+		time.Sleep(limits.lease + leaseMargin + time.Millisecond)
+		states = m.workerStates(j, limits)
+		qt.Assert(t, settlement.Judge(&j.Job, states), qt.Equals, settlement.Unknown)
 	})
 }
 
-// TestStandingStillIsNoLoss brings about what once started gangs a second time: a box stood still, another one renewed their leases
-// meanwhile, and as the first one woke it took the time since its own last renewal for proof that the leases were over.
-func TestStandingStillIsNoLoss(t *testing.T) {
+// TestSuspendedBoxDoesNotExpireLease guards against starting gangs a second time after a box was suspended. Another
+// box renewed the leases meanwhile, but the resumed box took the time since its own last renewal as proof that the
+// leases had expired.
+func TestSuspendedBoxDoesNotExpireLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var s watch
-		s.reset()
-		e := &Entry{Job: settlement.Job{State: settlement.Stopping, Attempt: "a#1", Seats: []settlement.Seat{{Worker: "w1"}}}}
-		e.Learned, e.Stopping = time.Now(), time.Now()
-		within := bounds{fresh: time.Second, lease: 4 * time.Second, unchecked: 10 * time.Second}
+		var m workerMonitor
+		m.reset()
+		j := &Entry{Job: settlement.Job{State: settlement.Stopping, Attempt: "a#1", Seats: []settlement.Seat{{Worker: "w1"}}}}
+		j.FirstSeen, j.StopSeen = time.Now(), time.Now()
+		limits := timeLimits{reportMaxAge: time.Second, lease: 4 * time.Second, rowsMaxAge: 10 * time.Second}
 		time.Sleep(10 * time.Millisecond)
-		s.take("w1", time.Now(), worker.Report{Tasks: []worker.Task{{Attempt: "a#1", State: worker.Running}}})
+		m.recordReport("w1", time.Now(), worker.Report{Tasks: []worker.Task{{Attempt: "a#1", State: worker.Running}}})
 		asked := time.Now()
 		time.Sleep(time.Hour)
-		s.fail("w1", asked, within.lease)
-		s.fail("w1", time.Now(), within.lease)
-		qt.Assert(t, s.sights(e, within), qt.DeepEquals, []settlement.Sight{{}})
+		m.recordFailure("w1", asked, limits.lease)
+		m.recordFailure("w1", time.Now(), limits.lease)
+		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.Sight{{}})
 
-		time.Sleep(within.lease + time.Second)
-		s.fail("w1", time.Now(), within.lease)
-		qt.Assert(t, s.sights(e, within), qt.DeepEquals, []settlement.Sight{{Lost: true, Expired: true}})
+		time.Sleep(limits.lease + time.Second)
+		m.recordFailure("w1", time.Now(), limits.lease)
+		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.Sight{{Lost: true, Expired: true}})
 	})
 }
 
-// TestOvertakenReport says that a report that comes after a later one changes nothing: what it lacks had not begun when it was written.
-func TestOvertakenReport(t *testing.T) {
+// TestOlderReportIsIgnored fails if a report that arrives after a later one changes anything. Tasks that the older
+// report lacks may have begun after it was written.
+func TestOlderReportIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var s watch
-		s.reset()
+		var m workerMonitor
+		m.reset()
 		early := time.Now()
 		time.Sleep(10 * time.Millisecond)
-		s.take("w1", time.Now(), worker.Report{Clock: 20, Tasks: []worker.Task{{Attempt: "a#1", State: worker.Finished}}})
-		s.take("w1", early, worker.Report{Clock: 10})
-		qt.Assert(t, s.task("w1", "a#1").State, qt.Equals, worker.Finished)
-		qt.Assert(t, s.clocks()["w1"], qt.Equals, int64(20))
+		m.recordReport("w1", time.Now(), worker.Report{Clock: 20, Tasks: []worker.Task{{Attempt: "a#1", State: worker.Finished}}})
+		m.recordReport("w1", early, worker.Report{Clock: 10})
+		qt.Assert(t, m.task("w1", "a#1").State, qt.Equals, worker.Finished)
+		qt.Assert(t, m.clocks()["w1"], qt.Equals, int64(20))
 	})
 }
 
-// TestListedEndStays says that an end counts once a worker has listed it, also where the worker has no trace of it later: a part of a gang
-// had ended as done, its worker lost its memory before the others ended, and all of them were stopped and began anew.
-func TestListedEndStays(t *testing.T) {
+// TestReportedEndIsKept guards against losing the reported end of a member when its worker loses its records. The
+// gang of such a member was stopped and begun anew, although that member was done.
+func TestReportedEndIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var s watch
-		s.reset()
-		e := &Entry{Job: settlement.Job{State: settlement.Starting, Attempt: "a#1", Seats: []settlement.Seat{{Worker: "w1"}}}, Learned: time.Now()}
-		within := bounds{fresh: time.Second, lease: 4 * time.Second, unchecked: time.Minute}
+		var m workerMonitor
+		m.reset()
+		j := &Entry{Job: settlement.Job{State: settlement.Starting, Attempt: "a#1", Seats: []settlement.Seat{{Worker: "w1"}}}, FirstSeen: time.Now()}
+		limits := timeLimits{reportMaxAge: time.Second, lease: 4 * time.Second, rowsMaxAge: time.Minute}
 		time.Sleep(10 * time.Millisecond)
 		done := worker.Task{Attempt: "a#1", State: worker.Finished, Answer: []byte(`1`)}
-		s.take("w1", time.Now(), worker.Report{Tasks: []worker.Task{done}})
+		m.recordReport("w1", time.Now(), worker.Report{Tasks: []worker.Task{done}})
 		time.Sleep(10 * time.Millisecond)
-		s.take("w1", time.Now(), worker.Report{})
-		qt.Assert(t, s.sights(e, within), qt.DeepEquals, []settlement.Sight{{Known: true, Task: done}})
+		m.recordReport("w1", time.Now(), worker.Report{})
+		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.Sight{{Known: true, Task: done}})
 
-		// Once no row names it, it is forgotten.
-		qt.Assert(t, s.orphaned("w1", nil, time.Now()), qt.HasLen, 0)
-		time.Sleep(orphanAfter + time.Second)
-		qt.Assert(t, s.orphaned("w1", nil, time.Now()), qt.DeepEquals, []string{"a#1"})
-		qt.Assert(t, s.task("w1", "a#1"), qt.DeepEquals, worker.Task{})
+		// The end is forgotten some time after no row names it any more.
+		qt.Assert(t, m.orphanedTasks("w1", nil, time.Now()), qt.HasLen, 0)
+		time.Sleep(orphanRetention + time.Second)
+		qt.Assert(t, m.orphanedTasks("w1", nil, time.Now()), qt.DeepEquals, []string{"a#1"})
+		qt.Assert(t, m.task("w1", "a#1"), qt.DeepEquals, worker.Task{})
 	})
 }
--- a/internal/hall/start.go
+++ b/internal/hall/start.go
@@ -12,189 +12,190 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// stepTimeout bounds one message to a worker.
+// stepTimeout is the timeout for one command to a worker.
 const stepTimeout = time.Second
 
-// rowsPerCommit bounds the jobs that one transaction places in a rack.
-const rowsPerCommit = 64
+// startsPerCommit is the most jobs that one transaction starts in a rack.
+const startsPerCommit = 64
 
-// place starts gangs in one rack: hold at the workers, commit together, then start.
-func (k *Keeper) place(ctx context.Context, rack string, list []*placement) {
-	defer k.rackIdle(rack)
-	if len(list) > rowsPerCommit {
-		for _, p := range list[rowsPerCommit:] {
-			k.idle(p.entry.Key())
+// startInRack starts gangs in one rack: it holds their devices, commits their rows together, and then starts them.
+func (c *Keeper) startInRack(ctx context.Context, rack string, list []*pendingStart) {
+	defer c.releaseRack(rack)
+	if len(list) > startsPerCommit {
+		for _, p := range list[startsPerCommit:] {
+			c.stepDone(p.job.Key())
 		}
-		list = list[:rowsPerCommit]
+		list = list[:startsPerCommit]
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.Settings.Lease.Hold)
+	ctx, cancel := context.WithTimeout(ctx, c.Settings.Lease.Hold)
 	defer cancel()
-	held := k.holdAll(ctx, list)
-	if len(held) == 0 {
+	ready := c.holdAll(ctx, list)
+	if len(ready) == 0 {
 		return
 	}
-	revision, err := k.commitStarts(ctx, rack, held)
+	revision, err := c.commitStarts(ctx, rack, ready)
 	if err != nil {
-		k.startFailed(held, err)
+		c.handleCommitError(ready, err)
 		return
 	}
-	k.Book.PutRack(rack, revision)
-	for _, p := range held {
-		k.Book.Put(p.next, revision)
-		k.note(p.entry.Key(), p.attempt, "committed: "+p.reason.String())
+	c.Book.PutRack(rack, revision)
+	for _, p := range ready {
+		c.Book.Put(p.next, revision)
+		c.recordEvent(p.job.Key(), p.attempt, "committed: "+p.reason.String())
 		go func() {
-			defer k.Wake()
-			defer k.idle(p.entry.Key())
-			k.launch(context.WithoutCancel(ctx), &p.next)
+			defer c.Wake()
+			defer c.stepDone(p.job.Key())
+			c.launch(context.WithoutCancel(ctx), &p.next)
 		}()
 	}
 }
 
-func (k *Keeper) rackIdle(rack string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.rackBusy, rack)
-	signal(k.wake)
+func (c *Keeper) releaseRack(rack string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.busyRacks, rack)
+	signal(c.wake)
 }
 
-// startFailed releases what was held. Where the outcome of the commit is not known nothing is released: the row may say
-// that the attempt starts, and the next refresh shows it; if it does not, the holds lapse by themselves.
-func (k *Keeper) startFailed(held []*placement, err error) {
-	k.Log.Debug("hall: a start was not committed: " + err.Error())
+// handleCommitError releases the held devices after a failed commit. If the outcome of the commit is unknown, it
+// releases nothing: the next refresh shows whether the attempts start, and if they don't, the holds expire.
+func (c *Keeper) handleCommitError(held []*pendingStart, err error) {
+	c.Log.Debug("hall: unable to commit starts; the jobs wait for a later pass: " + err.Error())
 	for _, p := range held {
 		if !errors.Is(err, table.ErrUnknown) {
-			k.release(p)
+			c.release(p)
 		}
-		k.rest(p.entry.Key(), restAfterHold)
+		c.endStep(p.job.Key(), pauseAfterFailedHold)
 	}
-	k.Stale()
+	c.Stale()
 }
 
-// holdAll holds the devices of every placement and returns those that hold all of theirs.
-func (k *Keeper) holdAll(ctx context.Context, list []*placement) []*placement {
+// holdAll holds the devices of all starts and returns the starts that got all of theirs.
+func (c *Keeper) holdAll(ctx context.Context, list []*pendingStart) []*pendingStart {
 	var group sync.WaitGroup
 	ok := make([]bool, len(list))
 	for i, p := range list {
-		group.Go(func() { ok[i] = k.hold(ctx, p) })
+		group.Go(func() { ok[i] = c.hold(ctx, p) })
 	}
 	group.Wait()
-	var held []*placement
+	var held []*pendingStart
 	for i, p := range list {
 		if ok[i] {
 			held = append(held, p)
 			continue
 		}
-		k.release(p)
-		k.rest(p.entry.Key(), restAfterHold)
+		c.release(p)
+		c.endStep(p.job.Key(), pauseAfterFailedHold)
 	}
 	return held
 }
 
-// hold asks every worker of a placement to hold its devices, and reports whether all do.
-func (k *Keeper) hold(ctx context.Context, p *placement) bool {
+// hold asks every worker of a start to hold its devices, and reports whether all do.
+func (c *Keeper) hold(ctx context.Context, p *pendingStart) bool {
 	var group sync.WaitGroup
-	errs := make([]error, len(p.seats))
-	workers := k.workersByName()
-	for i, seat := range p.seats {
-		order := k.order(p, seat)
+	errs := make([]error, len(p.placements))
+	workers := c.workersByName()
+	for i, placement := range p.placements {
+		command := c.holdCommand(p, placement)
 		group.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 			defer cancel()
-			errs[i] = k.Workers.Hold(ctx, workers[seat.Worker], order)
+			errs[i] = c.Workers.Hold(ctx, workers[placement.Worker], command)
 		})
 	}
 	group.Wait()
 	for _, err := range errs {
 		if err != nil {
-			k.note(p.entry.Key(), p.attempt, "could not be held: "+err.Error())
+			c.recordEvent(p.job.Key(), p.attempt, "could not be held: "+err.Error())
 			return false
 		}
 	}
-	next, err := p.entry.Job.Place(p.attempt, p.rack, p.seats, time.Now())
+	next, err := p.job.Job.Place(p.attempt, p.rack, p.placements, time.Now())
 	p.next = next
 	return err == nil
 }
 
-func (k *Keeper) order(p *placement, seat settlement.Seat) worker.Order {
-	s := p.entry.Submission
+func (c *Keeper) holdCommand(p *pendingStart, placement settlement.Seat) worker.Order {
+	s := p.job.Submission
 	return worker.Order{
-		Attempt: p.attempt, Identity: p.entry.Identity, Members: seat.Members, Gang: s.Gang, Number: p.entry.Number + 1,
-		Shape: s.Shape, Devices: seat.Devices, LeaseMS: k.Settings.Lease.Hold.Milliseconds(), Kind: s.Kind,
-		Payload: s.Payload, From: p.entry.Done,
+		Attempt: p.attempt, Identity: p.job.Identity, Members: placement.Members, Gang: s.Gang, Number: p.job.Number + 1,
+		Shape: s.Shape, Devices: placement.Devices, LeaseMS: c.Settings.Lease.Hold.Milliseconds(), Kind: s.Kind,
+		Payload: s.Payload, From: p.job.Done,
 	}
 }
 
-// release stops what a placement may hold, so that its devices come free before the hold lapses.
-func (k *Keeper) release(p *placement) {
+// release stops an attempt that may hold devices, so that they become free before the hold expires.
+func (c *Keeper) release(p *pendingStart) {
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
-	workers := k.workersByName()
-	k.stepSeats(ctx, workers, p.seats, worker.Stop, p.attempt, 0)
+	workers := c.workersByName()
+	c.sendStep(ctx, workers, p.placements, worker.Stop, p.attempt, 0)
 }
 
-// commitStarts writes the rack's row and the jobs' rows in one transaction.
-func (k *Keeper) commitStarts(ctx context.Context, rack string, held []*placement) (int64, error) {
-	rackKey := settlement.RackKey(k.Hall, rack)
+// commitStarts writes the rack's row and the job rows in one transaction.
+func (c *Keeper) commitStarts(ctx context.Context, rack string, held []*pendingStart) (int64, error) {
+	rackKey := settlement.RackKey(c.Hall, rack)
 	row := settlement.Rack{}
-	op := table.Op{Priority: table.Start, Checks: []table.Check{{Key: rackKey, Version: k.Book.RackVersion(rack)}}}
+	op := table.Op{Priority: table.Start, Checks: []table.Check{{Key: rackKey, Version: c.Book.RackVersion(rack)}}}
 	for _, p := range held {
 		row.Attempts = append(row.Attempts, p.attempt)
-		key := settlement.JobKey(k.Hall, p.entry.Identity)
-		op.Checks = append(op.Checks, table.Check{Key: key, Version: p.entry.Version})
+		key := settlement.JobKey(c.Hall, p.job.Identity)
+		op.Checks = append(op.Checks, table.Check{Key: key, Version: p.job.Version})
 		op.Writes = append(op.Writes, table.Put(key, p.next))
 	}
 	op.Writes = append(op.Writes, table.Put(rackKey, row))
-	return k.Committer.Do(ctx, op)
+	return c.Committer.Do(ctx, op)
 }
 
-// launch arms every member of a committed attempt and tells them to go once all are armed. Where that fails, what is
-// known of the seats decides what follows.
-func (k *Keeper) launch(ctx context.Context, j *settlement.Job) {
-	workers := k.workersByName()
-	if !k.stepSeats(ctx, workers, k.unfinished(j), worker.Arm, j.Attempt, 0) {
-		k.note(j.Identity.String(), j.Attempt, "could not be armed")
-		signal(k.renewNow)
+// launch arms every member of a committed attempt, and starts them once all are armed. If that fails, checkAttempts
+// decides what follows from the state of the members.
+func (c *Keeper) launch(ctx context.Context, j *settlement.Job) {
+	workers := c.workersByName()
+	if !c.sendStep(ctx, workers, c.unfinished(j), worker.Arm, j.Attempt, 0) {
+		c.recordEvent(j.Identity.String(), j.Attempt, "could not be armed")
+		signal(c.renewNow)
 		return
 	}
-	if !k.stepSeats(ctx, workers, j.Seats, worker.Go, j.Attempt, k.Settings.Lease.Run) {
-		// Those that were told to go begin within worker.BeginDelay; they must not begin alone.
-		k.stepSeats(ctx, workers, j.Seats, worker.Stop, j.Attempt, 0)
-		k.note(j.Identity.String(), j.Attempt, "could not be started whole")
-		signal(k.renewNow)
+	if !c.sendStep(ctx, workers, j.Seats, worker.Go, j.Attempt, c.Settings.Lease.Run) {
+		// Members that got the command start within worker.BeginDelay; they must not start alone.
+		c.sendStep(ctx, workers, j.Seats, worker.Stop, j.Attempt, 0)
+		c.recordEvent(j.Identity.String(), j.Attempt, "could not be started whole")
+		signal(c.renewNow)
 		return
 	}
-	k.note(j.Identity.String(), j.Attempt, "started")
-	if k.Metrics != nil && k.Metrics.Start != nil {
-		k.Metrics.Start(time.Since(j.Received))
+	c.recordEvent(j.Identity.String(), j.Attempt, "started")
+	if c.Metrics != nil && c.Metrics.Start != nil {
+		c.Metrics.Start(time.Since(j.Received))
 	}
 }
 
-// unfinished are the seats of an attempt that are not known to have ended well. A member that was told to go alone, as its box died, may have ended
-// before the next box finds the others armed: it can't be armed any more, and a gang that was to be armed whole was never settled.
-func (k *Keeper) unfinished(j *settlement.Job) []settlement.Seat {
+// unfinished returns the placements of an attempt that are not known to have finished. If a box dies while it starts
+// a gang, a member may run alone and finish before the next box arms the others. Finished members can't be armed
+// again, and a gang that waited for that was never settled.
+func (c *Keeper) unfinished(j *settlement.Job) []settlement.Seat {
 	var list []settlement.Seat
-	for _, seat := range j.Seats {
-		if k.watch.task(seat.Worker, j.Attempt).State != worker.Finished {
-			list = append(list, seat)
+	for _, placement := range j.Seats {
+		if c.monitor.task(placement.Worker, j.Attempt).State != worker.Finished {
+			list = append(list, placement)
 		}
 	}
 	return list
 }
 
-// stepSeats carries all seats of an attempt a step on, at once, and reports whether all did. What the workers answer
-// is taken in.
-func (k *Keeper) stepSeats(ctx context.Context, workers map[string]contract.Worker, seats []settlement.Seat, verb worker.Verb, attempt string, lease time.Duration) bool {
+// sendStep sends a command to all workers of an attempt in parallel, records their answers, and reports whether all
+// succeeded.
+func (c *Keeper) sendStep(ctx context.Context, workers map[string]contract.Worker, placements []settlement.Seat, verb worker.Verb, attempt string, lease time.Duration) bool {
 	var group sync.WaitGroup
-	errs := make([]error, len(seats))
-	for i, seat := range seats {
+	errs := make([]error, len(placements))
+	for i, placement := range placements {
 		group.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 			defer cancel()
 			var task worker.Task
-			task, errs[i] = k.Workers.Step(ctx, workers[seat.Worker], verb, attempt, lease)
+			task, errs[i] = c.Workers.Step(ctx, workers[placement.Worker], verb, attempt, lease)
 			if errs[i] == nil {
 				task.Attempt = attempt
-				k.watch.takeTask(seat.Worker, task)
+				c.monitor.recordTask(placement.Worker, task)
 			}
 		})
 	}
--- a/internal/hall/view.go
+++ b/internal/hall/view.go
@@ -13,56 +13,56 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// placement is a start under way: its devices are taken although no row says so yet.
-type placement struct {
-	entry   *Entry
-	rack    string
-	attempt string
-	seats   []settlement.Seat
-	reason  *decider.Reason
-	next    settlement.Job // The job's row as it will be committed.
+// pendingStart is a start in progress. Its devices are taken, although no row names them yet.
+type pendingStart struct {
+	job        *Entry
+	rack       string
+	attempt    string
+	placements []settlement.Seat
+	reason     *decider.Reason
+	next       settlement.Job // The job's row as it will be committed.
 }
 
-// layoutCache keeps the pledge plan for a configuration and a set of failed workers.
+// layoutCache holds the plan of reserved capacity for a version of the configuration and a set of unusable workers.
 type layoutCache struct {
 	version int64
 	failed  string
 	layout  pledge.Layout
 }
 
-// view puts together what the decider sees; the lock is held.
-func (k *Keeper) view(site *contract.Site, orders config.Orders, loads []link.Load, now time.Time) *decider.View {
+// buildView returns the decider's view of the hall. The caller holds c.mu.
+func (c *Keeper) buildView(site *contract.Site, orders config.Orders, loads []link.Load, now time.Time) *decider.View {
 	v := &decider.View{
-		Now: now, Site: site, Claims: orders.Claimed(now), Estimates: &k.estimates,
-		SetAsides: k.setAsides, UsedBefore: usedElsewhere(k.Hall, loads),
-	}
-	index := k.addWorkers(v, orders)
-	v.Layout = k.layoutFor(site, v)
-	k.watchWorkers(now)
-	suspect := k.suspect(now)
-	for _, e := range k.Book.Jobs() {
-		if e.Unsettled {
+		Now: now, Site: site, Claims: orders.Claimed(now), Estimates: &c.estimates,
+		SetAsides: c.reservedRacks, UsedBefore: usedElsewhere(c.Hall, loads),
+	}
+	index := c.addWorkers(v, orders)
+	v.Layout = c.layoutFor(site, v)
+	c.sampleWorkers(now)
+	suspect := c.nextSuspect(now)
+	for _, j := range c.Book.Jobs() {
+		if j.Unsettled {
 			continue
 		}
-		if e.State == settlement.Waiting && e.Losses > 0 && e.Losses < decider.LossesToGiveUp && e.Key() != suspect && k.starts[e.Key()] == nil {
-			continue // Its turn comes.
+		if j.State == settlement.Waiting && j.Losses > 0 && j.Losses < decider.LossesToGiveUp && j.Key() != suspect && c.pendingStarts[j.Key()] == nil {
+			continue // Jobs with losses start one at a time.
 		}
-		k.addJob(v, e, index)
+		c.addJob(v, j, index)
 	}
 	return v
 }
 
-// addWorkers fills in racks and workers and returns the index of each worker's name.
-func (k *Keeper) addWorkers(v *decider.View, orders config.Orders) map[string]int {
+// addWorkers adds the racks and workers to the view, and returns the index of each worker by name.
+func (c *Keeper) addWorkers(v *decider.View, orders config.Orders) map[string]int {
 	index := map[string]int{}
-	h, _ := v.Site.Hall(k.Hall)
-	hallDrained := orders.Drained("hall", k.Hall)
+	h, _ := v.Site.Hall(c.Hall)
+	hallDrained := orders.Drained("hall", c.Hall)
 	for r, rack := range h.Racks {
 		drained := hallDrained || orders.Drained("rack", rack.Name)
 		row := decider.Rack{Name: rack.Name}
 		for _, w := range rack.Workers {
-			usable, probe := k.health.Standing(w.Name, v.Now)
-			usable = usable && !drained && !orders.Drained("worker", w.Name) && k.watch.reachable(w.Name, k.fresh())
+			usable, probe := c.health.Standing(w.Name, v.Now)
+			usable = usable && !drained && !orders.Drained("worker", w.Name) && c.monitor.reachable(w.Name, c.reportMaxAge())
 			index[w.Name] = len(v.Workers)
 			row.Workers = append(row.Workers, len(v.Workers))
 			v.Workers = append(v.Workers, decider.Worker{Name: w.Name, Rack: r, Capacity: w.Capacity, Usable: usable, Probe: probe})
@@ -72,8 +72,9 @@
 	return index
 }
 
-// layoutFor returns the pledge plan around workers that can't be used, from the cache where nothing changed.
-func (k *Keeper) layoutFor(site *contract.Site, v *decider.View) pledge.Layout {
+// layoutFor returns the plan of reserved capacity without unusable workers. It uses the cached plan if nothing
+// changed.
+func (c *Keeper) layoutFor(site *contract.Site, v *decider.View) pledge.Layout {
 	failed := map[string]bool{}
 	var names []string
 	for _, w := range v.Workers {
@@ -83,39 +84,41 @@
 		}
 	}
 	id := strings.Join(names, " ")
-	if k.layout.layout != nil && k.layout.version == site.Version && k.layout.failed == id {
-		return k.layout.layout
+	if c.layoutCache.layout != nil && c.layoutCache.version == site.Version && c.layoutCache.failed == id {
+		return c.layoutCache.layout
 	}
 	var condition *pledge.Condition
 	if len(failed) > 0 {
 		condition = &pledge.Condition{Failed: failed}
 	}
-	layout, _ := pledge.Plan(site, condition) // What does not fit while workers are lost waits for them.
-	k.layout = layoutCache{site.Version, id, layout}
+	// Guarantees that don't fit while workers are unusable wait for them.
+	layout, _ := pledge.Plan(site, condition)
+	c.layoutCache = layoutCache{site.Version, id, layout}
 	return layout
 }
 
-func (k *Keeper) addJob(v *decider.View, e *Entry, index map[string]int) {
-	job := k.deciderJob(e)
-	if p := k.starts[job.Key]; p != nil && e.State == settlement.Waiting {
-		v.Running = append(v.Running, decider.Running{Job: job, Members: members(p.seats, index), Started: v.Now})
+func (c *Keeper) addJob(v *decider.View, j *Entry, index map[string]int) {
+	job := c.deciderJob(j)
+	if p := c.pendingStarts[job.Key]; p != nil && j.State == settlement.Waiting {
+		v.Running = append(v.Running, decider.Running{Job: job, Members: members(p.placements, index), Started: v.Now})
 		return
 	}
-	if e.State != settlement.Waiting {
+	if j.State != settlement.Waiting {
 		v.Running = append(v.Running, decider.Running{
-			Job: job, Members: members(e.Seats, index), Started: e.Started, Stopping: e.State == settlement.Stopping,
+			Job: job, Members: members(j.Seats, index), Started: j.Started, Stopping: j.State == settlement.Stopping,
 		})
 		return
 	}
-	if _, resting := k.resting[job.Key]; !resting && !k.busy[job.Key] {
+	if _, paused := c.pausedUntil[job.Key]; !paused && !c.busy[job.Key] {
 		v.Waiting = append(v.Waiting, job)
 	}
 }
 
-// members returns the decider's form of seats; workers that the configuration no longer has are left out.
-func members(seats []settlement.Seat, index map[string]int) []decider.Member {
+// members converts placements to the decider's form. It leaves out workers that are not in the configuration any
+// more.
+func members(placements []settlement.Seat, index map[string]int) []decider.Member {
 	var list []decider.Member
-	for _, s := range seats {
+	for _, s := range placements {
 		if i, ok := index[s.Worker]; ok {
 			list = append(list, decider.Member{Worker: i, Count: len(s.Members)})
 		}
@@ -123,22 +126,23 @@
 	return list
 }
 
-func (k *Keeper) deciderJob(e *Entry) decider.Job {
-	key := e.Key()
-	if len(e.Failures) > 0 && !k.known[key] {
-		k.known[key] = true
-		for _, w := range e.Failures { // Another box saw them; its health is gone, the row is not.
-			k.health.Failed(w, key, time.Now())
+func (c *Keeper) deciderJob(j *Entry) decider.Job {
+	key := j.Key()
+	if len(j.Failures) > 0 && !c.failuresLoaded[key] {
+		c.failuresLoaded[key] = true
+		// Another box recorded these failures in the row; its health records are gone.
+		for _, w := range j.Failures {
+			c.health.Failed(w, key, time.Now())
 		}
 	}
 	return decider.Job{
-		Key: key, Workspace: e.Submission.Workspace, Kind: e.Submission.Kind, Gang: e.Submission.Gang, Shape: e.Submission.Shape,
-		DeclaredSeconds: e.Submission.DeclaredSeconds, Urgent: e.Submission.Urgent, AtMostOnce: e.Submission.AtMostOnce,
-		Checkpoints: e.Submission.Checkpoints, Arrived: e.Received, Done: e.Done, Stops: e.Stops, FailedOn: k.health.FailedOn(key), Losses: e.Losses,
+		Key: key, Workspace: j.Submission.Workspace, Kind: j.Submission.Kind, Gang: j.Submission.Gang, Shape: j.Submission.Shape,
+		DeclaredSeconds: j.Submission.DeclaredSeconds, Urgent: j.Submission.Urgent, AtMostOnce: j.Submission.AtMostOnce,
+		Checkpoints: j.Submission.Checkpoints, Arrived: j.Received, Done: j.Done, Stops: j.Stops, FailedOn: c.health.FailedOn(key), Losses: j.Losses,
 	}
 }
 
-// usedElsewhere returns the accelerators that workspaces use in other halls, as their preferred boxes said last.
+// usedElsewhere returns the accelerators that each workspace uses in other halls, as last reported by their boxes.
 func usedElsewhere(hall string, loads []link.Load) map[string]int {
 	used := map[string]int{}
 	for _, l := range loads {
@@ -152,19 +156,19 @@
 	return used
 }
 
-// loadOf sums up a view for the boxes that choose halls for new jobs.
+// loadOf summarizes a view as a load, from which boxes choose halls for new jobs.
 func loadOf(hall string, v *decider.View) link.Load {
 	l := link.Load{Hall: hall, PledgeFree: map[string]int{}, Used: map[string]int{}, Unfinished: map[string]int{}}
-	free, open := make([]int, len(v.Workers)), make([]int, len(v.Workers))
+	free, unreserved := make([]int, len(v.Workers)), make([]int, len(v.Workers))
 	for i, w := range v.Workers {
-		open[i] = w.Capacity.Accelerators
+		unreserved[i] = w.Capacity.Accelerators
 		if w.Usable {
 			free[i] = w.Capacity.Accelerators
 			l.Capacity += free[i]
 		}
 		for _, s := range v.Layout[w.Name] {
 			l.PledgeFree[s.Workspace] += s.Shape.Accelerators
-			open[i] -= s.Shape.Accelerators
+			unreserved[i] -= s.Shape.Accelerators
 		}
 	}
 	for _, r := range v.Running {
@@ -177,9 +181,9 @@
 	}
 	for _, rack := range v.Racks {
 		sum, firm := 0, 0
-		for _, k := range rack.Workers {
-			sum += max(free[k], 0)
-			firm += max(min(free[k], open[k]), 0)
+		for _, w := range rack.Workers {
+			sum += max(free[w], 0)
+			firm += max(min(free[w], unreserved[w]), 0)
 		}
 		l.Free += sum
 		l.Largest = max(l.Largest, sum)
@@ -192,8 +196,8 @@
 	return l
 }
 
-// devices picks the devices of a worker for a number of members: the shortest run of neighbours that is long enough,
-// else the lowest free ones; nil where too few are free.
+// devices chooses the devices of a worker for its members: the shortest sufficient run of consecutive free devices,
+// or else the lowest free ones. It returns nil if too few are free.
 func devices(capacity, needed int, taken map[int]bool) []int {
 	if needed == 0 {
 		return []int{}
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -1,4 +1,5 @@
-// Package judge compares what callers were told with what workers and executors recorded, and counts broken promises.
+// Package judge compares what callers were told with what workers and executors recorded, and counts violated
+// guarantees.
 package judge
 
 import (
@@ -10,15 +11,15 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// Told is a request with everything its caller was told about it, in order.
+// Told is a request with all replies to its caller, in order.
 type Told struct {
 	request.Identity
 	Submission request.Submission
 	Replies    []request.Reply
-	Refused    bool // It was refused as malformed, before it became a request.
+	Refused    bool // Rejected as malformed, before it became a request.
 }
 
-// Last returns the latest reply, an empty one where there is none.
+// Last returns the latest reply, or an empty one if there is none.
 func (t *Told) Last() request.Reply {
 	if len(t.Replies) == 0 {
 		return request.Reply{}
@@ -29,7 +30,8 @@
 // Settled reports whether the caller knows the final outcome.
 func (t *Told) Settled() bool { return t.Last().Outcome.Final() }
 
-// Unknowable reports whether the caller was told that nobody can find out any more whether its at-most-once request ran.
+// Unknowable reports whether the caller was told that it can't be found out any more whether its at-most-once
+// request ran.
 func (t *Told) Unknowable() bool {
 	last := t.Last()
 	if !t.Submission.AtMostOnce || last.Outcome != request.Unresolved {
@@ -41,42 +43,44 @@
 	return last.Reason == settlement.ReasonForgotten
 }
 
-// Judgement is what the callers and the stand-ins counted.
+// Judgement counts requests, their outcomes and violated guarantees.
 type Judgement struct {
 	Requests            int `json:"requests"`
 	Settled             int `json:"settled"`
-	Lost                int `json:"lost"`          // Told something and without a final outcome at the end.
+	Lost                int `json:"lost"`          // Requests with replies, but without a final outcome at the end.
 	PartialGangs        int `json:"partial_gangs"` // Attempts of which some members ran and others never did.
 	Repeated            int `json:"repeated"`      // At-most-once requests that ran more than once.
-	Misdelivered        int `json:"misdelivered"`  // Answers that were not the whole answer to their request.
-	CutInFlight         int `json:"cut_in_flight"` // Calls that a planned stop broke off.
+	WrongAnswers        int `json:"misdelivered"`  // Answers that were not the complete answer to their request.
+	CutInFlight         int `json:"cut_in_flight"` // Calls that a planned stop interrupted.
 	GuaranteesReclaimed int `json:"guarantees_reclaimed"`
 	GuaranteesRefused   int `json:"guarantees_refused"`
-	NotRunButRan        int `json:"not_run_but_ran"` // Callers were told not_run, and the records say that it ran.
-	Contradicted        int `json:"contradicted"`    // A final outcome was followed by another one.
-	Done                int `json:"done"`
-	Failed              int `json:"failed"`
-	NotRun              int `json:"not_run"`
-	Doubled             int `json:"doubled"`    // Requests of which two attempts ran at the same time.
-	Unknowable          int `json:"unknowable"` // At-most-once requests whose worker or executor was lost with what it knew.
+	// Callers were told not_run, but the records show that the request ran.
+	NotRunButRan int `json:"not_run_but_ran"`
+	Contradicted int `json:"contradicted"` // A final outcome was followed by a different one.
+	Done         int `json:"done"`
+	Failed       int `json:"failed"`
+	NotRun       int `json:"not_run"`
+	Overlapping  int `json:"doubled"` // Requests of which two attempts ran at the same time.
+	// At-most-once requests whose worker or executor was lost with its records.
+	Unknowable int `json:"unknowable"`
 }
 
-// Broken returns the number of broken promises.
+// Broken returns the number of violated guarantees.
 func (j *Judgement) Broken() int {
-	return j.Lost + j.PartialGangs + j.Repeated + j.Misdelivered + j.CutInFlight + j.GuaranteesRefused + j.NotRunButRan + j.Contradicted + j.Doubled
+	return j.Lost + j.PartialGangs + j.Repeated + j.WrongAnswers + j.CutInFlight + j.GuaranteesRefused + j.NotRunButRan + j.Contradicted + j.Overlapping
 }
 
-// Line returns the judgement as one line of JSON.
+// Line returns the counts as one line of JSON.
 func (j *Judgement) Line() string {
 	raw, _ := json.Marshal(j) // A struct of numbers always encodes.
 	return string(raw)
 }
 
-// Judge counts.
-func Judge(told []*Told, records standin.Records) *Judgement {
-	ran := RanTimes(records)
-	j := &Judgement{PartialGangs: PartialGangs(records), Doubled: Doubled(records.Runs), Requests: len(told)}
-	for _, t := range told {
+// Judge compares the replies to callers with the records and returns the counts.
+func Judge(histories []*Told, records standin.Records) *Judgement {
+	ran := RunCounts(records)
+	j := &Judgement{PartialGangs: CountPartialGangs(records), Overlapping: CountOverlapping(records.Runs), Requests: len(histories)}
+	for _, t := range histories {
 		j.add(t, ran[t.Identity])
 	}
 	return j
@@ -99,8 +103,8 @@
 		j.Contradicted++
 	}
 	for _, r := range t.Replies {
-		if r.Outcome == request.Done && !OwnAnswer(t, r) {
-			j.Misdelivered++
+		if r.Outcome == request.Done && !AnswerMatches(t, r) {
+			j.WrongAnswers++
 		}
 	}
 	switch t.Last().Outcome {
@@ -126,8 +130,8 @@
 	return false
 }
 
-// OwnAnswer reports whether an answer is the whole answer of the stand-ins to the request.
-func OwnAnswer(t *Told, r request.Reply) bool {
+// AnswerMatches reports whether a reply holds the complete answer to the request.
+func AnswerMatches(t *Told, r request.Reply) bool {
 	var parts []standin.Answer
 	if t.Submission.Gang == 0 {
 		parts = make([]standin.Answer, 1)
@@ -147,9 +151,9 @@
 	return members == t.Submission.Gang
 }
 
-// RanTimes counts how often each request ran from its beginning: attempts at workers that did not go on from a
+// RunCounts returns how often each request ran from its beginning: attempts at workers that did not continue from a
 // checkpoint, and calls at executors.
-func RanTimes(r standin.Records) map[request.Identity]int {
+func RunCounts(r standin.Records) map[request.Identity]int {
 	ran := map[request.Identity]int{}
 	attempts := map[string]bool{}
 	for _, run := range r.Runs {
@@ -164,13 +168,13 @@
 	return ran
 }
 
-// Doubled counts the requests of which two attempts ran at the same time.
-func Doubled(runs []standin.Run) int {
+// CountOverlapping returns the number of requests of which two attempts ran at the same time.
+func CountOverlapping(runs []standin.Run) int {
 	doubled := map[request.Identity]bool{}
 	for i, a := range runs { // In the order in which they began.
 		for _, b := range runs[i+1:] {
-			over := a.Ended.IsZero() || b.Began.Before(a.Ended)
-			if a.Identity == b.Identity && a.Attempt != b.Attempt && over {
+			overlap := a.Ended.IsZero() || b.Began.Before(a.Ended)
+			if a.Identity == b.Identity && a.Attempt != b.Attempt && overlap {
 				doubled[a.Identity] = true
 			}
 		}
@@ -178,8 +182,9 @@
 	return len(doubled)
 }
 
-// PartialGangs counts attempts of which some members ran and others never did, except for those that lost a worker after it was told to go.
-func PartialGangs(records standin.Records) int {
+// CountPartialGangs returns the number of attempts of which some members ran and others never did. It leaves out
+// attempts that lost a worker after its start command.
+func CountPartialGangs(records standin.Records) int {
 	members := map[string]int{}
 	gangs := map[string]int{}
 	for _, r := range records.Runs {
