--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -12,33 +12,35 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// Crash is how a worker crashes and comes back. The zero value is a process that ends, is forgotten at once, and comes back at once
-// at its address.
+// Crash says how a worker crashes and restarts. With the zero value the process ends, its record is removed at once,
+// and it restarts at once at the same address.
 type Crash struct {
-	Dark      bool          // It falls silent; otherwise its connections are closed and its address refuses.
-	Back      time.Duration // After that it is back as another life.
-	Gone      bool          // It never comes back.
-	Elsewhere bool          // The new life has another address.
-	Again     bool          // The new life has the name of the old one.
-	Unlisted  time.Duration // So long after its start the new life writes its first record; only where it has the old one's name.
-	Recorded  time.Duration // After that the record of the old life goes.
+	// The worker stops answering; otherwise its connections are closed and its address refuses new ones.
+	Dark      bool
+	Back      time.Duration // Time from the crash to the restart.
+	Gone      bool          // The worker never restarts.
+	Elsewhere bool          // The restarted worker has another address.
+	Again     bool          // The restarted worker keeps its name.
+	// Time from the restart to the first record of the new incarnation; used only if it keeps the name.
+	Unlisted time.Duration
+	Recorded time.Duration // Time from the crash to the removal of the old incarnation's record.
 }
 
-// SetCrash says how workers crash from now on.
+// SetCrash sets how workers crash from now on.
 func (f *Fleet) SetCrash(c Crash) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crash = c
 }
 
-// Poison makes a task crash every worker that runs it, once it has worked for so long.
+// Poison makes a task crash every worker that runs it, after so much progress or run time.
 func (f *Fleet) Poison(t job.Task, after time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashes[t] = after
 }
 
-// CrashHall crashes every worker of a hall, as SetCrash said.
+// CrashHall crashes every worker of a hall in the way that SetCrash has set.
 func (f *Fleet) CrashHall(hall string) {
 	f.mu.Lock()
 	var lost []*worker
@@ -55,7 +57,7 @@
 	}
 }
 
-// CrashOne crashes a worker that lives, as SetCrash said: the one that a number picks.
+// CrashOne crashes one live worker in the way that SetCrash has set; pick selects which.
 func (f *Fleet) CrashOne(pick uint64) {
 	f.mu.Lock()
 	var alive []*worker
@@ -73,7 +75,7 @@
 	w.crash()
 }
 
-// WhereRuns is the worker that runs a task now, with its hall; empty where none does.
+// WhereRuns returns the worker that runs a task now, and its hall; both are empty if the task doesn't run.
 func (f *Fleet) WhereRuns(t job.Task) (id, hall string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,7 +86,8 @@
 	return at.Worker, f.workers[at.Worker].record.Hall
 }
 
-// die ends a life, and its process where it is over.
+// die ends this incarnation with all its runs; over says whether its process has ended too, so that its address
+// refuses connections. The caller holds the worker's lock.
 func (w *worker) die(over bool) {
 	w.dead, w.over = true, over
 	w.fleet.disturb()
@@ -98,7 +101,7 @@
 		w.fleet.ended(w, a, job.Lapsed)
 	}
 	for i := range w.ended {
-		if e := &w.ended[i]; e.Number > w.told { // Nobody knows of it.
+		if e := &w.ended[i]; e.Number > w.told { // No box has received this end.
 			w.fleet.noteLost(e.Task, e.Run)
 		}
 	}
@@ -107,14 +110,14 @@
 	}
 }
 
-// hasStayed reports whether a worker that said it leaves has stayed for as long as it said.
+// hasStayed reports whether the time has passed for which a departing worker stays.
 func (f *Fleet) hasStayed(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.isDue(id)
 }
 
-// crash ends a life that another one follows.
+// crash ends this incarnation and schedules the restart that SetCrash has set. The caller holds the worker's lock.
 func (w *worker) crash() {
 	if w.dead {
 		return
@@ -143,7 +146,7 @@
 	}()
 }
 
-// comeBack starts the life that follows a crash.
+// comeBack starts the incarnation that follows a crash.
 func (f *Fleet) comeBack(w *worker, c *Crash) {
 	f.mu.Lock()
 	f.lives++
@@ -163,14 +166,16 @@
 	if !c.Elsewhere {
 		w.mu.Lock()
 		w.replaced = true
-		f.leased(w, time.Time{}) // It answers for the old life that everything there is over.
+		// The new incarnation answers commands for the old one with an error, which shows that its runs have ended.
+		f.leased(w, time.Time{})
 		w.notify()
 		w.mu.Unlock()
 	}
 	f.Add(next)
 }
 
-// startAgain starts the next life of a worker under the name that it had, unless one has begun. It is heard of first by its record, or by what it answers before it writes one.
+// startAgain starts the next incarnation of a worker under the same name, unless one has already started. Boxes learn
+// of it from its record, or from its answers before it writes one.
 func (f *Fleet) startAgain(w *worker, next fleet.Worker, unlisted time.Duration) {
 	f.mu.Lock()
 	if f.workers[next.ID] != w {
@@ -182,17 +187,18 @@
 	delete(f.unsaid, next.ID)
 	f.mu.Unlock()
 	w.mu.Lock()
-	f.leased(w, time.Time{}) // It has ended, as its next life shows.
+	f.leased(w, time.Time{}) // The next incarnation shows that this one has ended.
 	w.mu.Unlock()
 	next.Draining, next.Leaves = false, 0
 	f.disturb()
 	f.begin(next, unlisted)
 }
 
-// restartTime is how long a process takes at least to start again.
+// restartTime is the least time that a process takes to restart.
 const restartTime = 300 * time.Millisecond
 
-// Restart starts the next life of a worker under the name that it had, as soon as a process can; the one before ends, if it still lives.
+// Restart starts the next incarnation of a worker under the same name as soon as a process can restart. It ends the
+// present one first if that is still alive.
 func (f *Fleet) Restart(id string) error {
 	f.mu.Lock()
 	w := f.workers[id]
@@ -213,7 +219,8 @@
 	return nil
 }
 
-// RecordFormer puts the last record of the life before a worker's present one into the place of its record, until it writes its own anew.
+// RecordFormer replaces a worker's record by the last record of its previous incarnation, until the worker writes its
+// own again.
 func (f *Fleet) RecordFormer(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -223,7 +230,7 @@
 	}
 }
 
-// forgetLife removes a worker's record if it is still that of a life.
+// forgetLife removes a worker's record if it still belongs to this incarnation.
 func (f *Fleet) forgetLife(l life.ID) {
 	f.mu.Lock()
 	w, recorded := f.workers[l.Worker], f.records[l.Worker].worker
@@ -233,7 +240,8 @@
 	}
 }
 
-// crashesNow reports whether a run crashes its worker now: once it has done so much of its work, also in earlier runs, or is so old.
+// crashesNow reports whether a run crashes its worker now: its progress, earlier runs included, or its age has
+// reached the limit of Poison.
 func (f *Fleet) crashesNow(a *activity) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -242,20 +250,22 @@
 }
 
 const (
-	// crashesAllowed is how many workers may crash under a task before its starts are counted (the users' rules).
+	// crashesAllowed is the number of workers that may crash under a task before its further starts count (the users'
+	// rules).
 	crashesAllowed = 3
-	// startsAfter is the number of starts after that which breaks the promise.
+	// startsAfter is the number of further starts that breaks the promise.
 	startsAfter = 3
 )
 
-// crashed notes that a worker has crashed under a task. The caller holds the worker's lock.
+// crashed records that a worker has crashed under a task. The caller holds the worker's lock.
 func (f *Fleet) crashed(t job.Task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.judge.crashed[t]++
 }
 
-// judgeBudget finds tasks that are started again and again after workers have crashed under them.
+// judgeBudget finds tasks that are still started after too many workers have crashed under them. The caller holds the
+// lock.
 func (f *Fleet) judgeBudget(w *worker, a *activity) {
 	if f.judge.crashed[a.task] < crashesAllowed || w.belated {
 		return
--- a/internal/emulator/ends.go
+++ b/internal/emulator/ends.go
@@ -8,14 +8,15 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// ends is what workers have listed of runs that ended by themselves, and whether that was taken note of. Make it with newEnds.
-type ends struct {
+// ends records the ends of runs that workers have listed, and whether each counts as delivered to the scheduler. Make
+// it with newEnds.
+type ends struct { // End of the lease by worker incarnation; zero for one that crashed.
 	leases   map[life.ID]time.Time // By life of a worker: when its lease is over; zero for one that crashed.
 	done     map[job.Task][]*listedEnd
 	failed   map[job.Task][]*listedEnd
 	byLife   map[life.ID][]*listedEnd
-	attempts map[job.ID]int // How many failed runs end a job.
-	// impaired is until when something was wrong with boxes or the store; ailing says that the store is in trouble now.
+	attempts map[job.ID]int // Number of failed runs that end a job.
+	// impaired is the time until which boxes or the store have a fault; ailing says that the store has one now.
 	impaired time.Time
 	ailing   bool
 }
@@ -27,26 +28,28 @@
 	}
 }
 
-// listedEnd is the end of a run that a worker has listed.
+// listedEnd is the end of a run as a worker has listed it.
 type listedEnd struct {
-	life   life.ID // Of the worker.
+	life   life.ID
 	number int64
 	run    int
 	at     time.Time
-	noted  bool // It was taken note of while the worker's lease ran, which holds for good.
-	lapsed bool // The worker's lease was over before anybody took note of it, which holds for good too.
+	noted  bool // It was delivered while the worker's lease ran; never reset.
+	lapsed bool // The worker's lease expired before it was delivered; never reset.
 }
 
 const (
-	// notedAfter is how long after it was listed an end counts as taken note of while nothing is wrong (the users' rules).
+	// notedAfter is the time after which a listed end counts as delivered if there is no fault (the users' rules).
 	notedAfter = 100 * time.Millisecond
-	// calmFor is how long nothing must have been wrong for that: as long as a machine must have been well to be in touch.
+	// calmFor is the time without faults that is needed for this: as long as a machine must have been healthy to
+	// count as in contact.
 	calmFor = 3 * time.Second
 )
 
-// counted is how many of a task's ends must be known to whoever starts it. Such an end was taken note of, or may be yet: it is listed, and the
-// lease of its worker runs. A worker that lives lists it until then. One that has ended its process, and may be only out of reach for all
-// that a box can tell, must be waited for as long. Afterwards nobody can know of an end that no box was told.
+// counted returns how many of a task's ends the scheduler must know before it starts the task again: ends that were
+// delivered, and ends that may still be delivered because the worker's lease runs. A live worker lists an end until
+// then. A worker whose process has ended may look merely unreachable to a box, so the box must wait as long. After
+// that, nobody can learn of an end that no box received.
 func (e *ends) counted(list []*listedEnd) int {
 	n := 0
 	for _, x := range list {
@@ -57,20 +60,20 @@
 	return n
 }
 
-// lapse notes that a worker's lease was over. For the ends that nobody had taken note of by then this holds for good (the users'
-// rules), also once the lease runs again: a box that stood still for longer than a lease can't know of them.
+// lapse records that a worker's lease expired. Ends not delivered by then never count as delivered (the users'
+// rules), even if the lease is extended later: a box that was suspended for longer than a lease can't know of them.
 func (e *ends) lapse(l life.ID) {
 	for _, x := range e.byLife[l] {
 		x.lapsed = x.lapsed || !x.noted
 	}
 }
 
-// calm reports whether nothing has been wrong with boxes and the store since long before a time.
+// calm reports whether boxes and the store have had no fault for calmFor before a time.
 func (e *ends) calm(since time.Time) bool {
 	return !e.ailing && since.Sub(e.impaired) > calmFor
 }
 
-// acknowledged notes that a worker's ends up to a number were taken note of while its lease ran.
+// acknowledged records that a worker's ends up to a number were delivered, if its lease runs, and reports the event.
 func (f *Fleet) acknowledged(w *worker, upTo int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,12 +85,12 @@
 	}
 }
 
-// note notes that an end was taken note of, if the worker's lease still runs.
+// note marks an end as delivered if the worker's lease still runs.
 func (e *ends) note(x *listedEnd) {
 	x.noted = x.noted || !x.lapsed && time.Now().Before(e.leases[x.life])
 }
 
-// leased notes until when a worker's lease runs.
+// leased records the time until which a worker's lease runs.
 func (f *Fleet) leased(w *worker, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,7 +101,8 @@
 	f.tell(Event{Kind: Leased, Until: until})
 }
 
-// noteEnd notes an end that says something of the task: of a gang one that is done stands for all members. The caller holds both locks.
+// noteEnd records an end that decides about the task: a success or a failure. The success of one gang member counts
+// for all members. The caller holds both locks.
 func (f *Fleet) noteEnd(w *worker, a *activity, outcome job.Outcome) {
 	if outcome != job.Succeeded && outcome != job.FailedRun {
 		return
@@ -119,8 +123,9 @@
 	}
 }
 
-// noteInCalm notes that an end counts as taken note of, as it was listed for long enough while nothing was wrong. Of a process that has
-// ended by then this holds for good only where a box was told, or where it left as it had said: then nothing was wrong, and boxes knew the time.
+// noteInCalm marks an end as delivered if it was listed for notedAfter without any fault. If the process has ended
+// meanwhile, this holds only if a box received the end, or if the worker left at the time it had announced: boxes
+// knew that time.
 func (f *Fleet) noteInCalm(w *worker, x *listedEnd) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,7 +139,7 @@
 	}
 }
 
-// Impair notes that something is wrong with boxes or their links until a time.
+// Impair records that boxes or their links have a fault until a time.
 func (f *Fleet) Impair(until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +148,7 @@
 	}
 }
 
-// Ail notes that something is wrong with the store, or no longer.
+// Ail records that the store has a fault, or that the fault has ended.
 func (f *Fleet) Ail(ailing bool) {
 	f.Impair(time.Now())
 	f.mu.Lock()
@@ -151,14 +156,14 @@
 	f.judge.ailing = ailing
 }
 
-// Allow tells the fleet after how many failed runs of a task its job ends.
+// Allow sets the number of failed runs of a task after which its job ends.
 func (f *Fleet) Allow(id job.ID, attempts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.judge.attempts[id] = attempts
 }
 
-// UsedUp reports whether a task of a job, or a gang as a whole, has failed as often as ends the job.
+// UsedUp reports whether a task of a job, or a gang as a whole, has failed often enough to end the job.
 func (f *Fleet) UsedUp(id job.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,7 +193,7 @@
 	return false
 }
 
-// judgeAttempts finds starts of a task after all its attempts have failed.
+// judgeAttempts finds starts of a task whose attempts have all failed. The caller holds the lock.
 func (f *Fleet) judgeAttempts(w *worker, a *activity) {
 	allowed, r := f.judge.attempts[a.task.Job], f.jobs[a.task.Job]
 	if allowed == 0 || r == nil || r.Steps[a.task.Step].Lasting {
--- a/internal/emulator/event.go
+++ b/internal/emulator/event.go
@@ -6,30 +6,30 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// EventKind is what an event tells of.
+// EventKind is the kind of an event.
 type EventKind int
 
 // Kinds of events.
 const (
 	Began        EventKind = iota // A run has begun.
-	Ended                         // A run has ended; one whose lease was over has ended with the lease.
-	Acknowledged                  // The ends of a worker up to a number were acknowledged.
-	Leased                        // Everything on a worker may run until a later time.
+	Ended                         // A run has ended; if its lease expired first, it ended at that time.
+	Acknowledged                  // A worker's ends up to a number were acknowledged.
+	Leased                        // A worker's lease has changed.
 )
 
-// Event is what has become of a run, or of all runs of a worker.
+// Event describes a change of a run, or of a worker and all its runs.
 type Event struct {
 	Kind    EventKind
 	At      time.Time
 	Task    job.Task
 	Run     int
-	Outcome job.Outcome // Of an end.
-	Number  int64       // Of an end, or of the last end that was acknowledged.
-	Until   time.Time   // Of a lease.
-	Gang    int         // Members of the gang that the run is one of; 0 for a single task.
+	Outcome job.Outcome // Of the run that ended.
+	Number  int64       // Number of the end, or of the last end that was acknowledged.
+	Until   time.Time   // End of the lease.
+	Gang    int         // Size of the run's gang; 0 for a single task.
 }
 
-// Tell takes in what has become of a member of a gang on a worker of another fleet: that it has begun or ended.
+// Tell records that a gang member on a worker of another fleet has begun or ended.
 func (f *Fleet) Tell(e Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,7 +41,7 @@
 	g.end(e.Outcome)
 }
 
-// tell tells the observer, if there is one, of something that has just happened. It is called with locks held.
+// tell passes an event to the observer, if there is one. It is called with locks held.
 func (f *Fleet) tell(e Event) {
 	if f.Observe == nil {
 		return
@@ -52,7 +52,8 @@
 	f.Observe(e)
 }
 
-// endedAt is when a run really ended: with the lease, however late the worker looked at it.
+// endedAt returns the time at which a run really ended: if the lease expired, that time, however late the worker
+// checked it.
 func (w *worker) endedAt(outcome job.Outcome) time.Time {
 	now := time.Now()
 	if outcome == job.Lapsed && now.After(w.lease) {
@@ -61,7 +62,8 @@
 	return now
 }
 
-// lapse ends everything on a worker whose lease is over. A worker whose process stood still looks at its lease before it takes an order.
+// lapse ends all runs of a worker whose lease has expired. A worker whose process was suspended calls it before it
+// takes a command.
 func (w *worker) lapse() {
 	if w.dead || len(w.runs) == 0 || !time.Now().After(w.lease) {
 		return
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -14,13 +14,14 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// Fleet is the workers with their records, and the judge of what they were ordered. Make it with NewFleet.
+// Fleet emulates the workers and their records, and checks the commands that the workers get. Make it with NewFleet.
 type Fleet struct {
 	MaxLease time.Duration
 	GangWait time.Duration
-	// EmptyWithin is how long after a hall was emptied work may still start there.
+	// EmptyWithin is the time after a hall was emptied in which work may still start there.
 	EmptyWithin time.Duration
-	// Observe is told of every event; it must neither wait nor call the fleet. Set it before the first worker is added.
+	// Observe is called with every event; it must not block or call the fleet. Set it before the first worker is
+	// added.
 	Observe func(e Event)
 
 	mu      sync.Mutex
@@ -33,27 +34,28 @@
 	jobs    map[job.ID]*job.Request
 	work    map[job.ID]time.Duration
 	judge   judge
-	reads   int // Answers to those who follow the records.
+	reads   int // Answers to reads of the worker records.
 	crashes map[job.Task]time.Duration
 	crash   Crash
-	lives   int // Lives that came back after a crash.
+	lives   int // Restarts after a crash; makes names unique.
 	lasts   map[job.ID]LastMoments
-	dueAt   map[string]time.Time    // By worker that leaves, whether it said so or not: until when it surely stays.
-	unsaid  map[string]bool         // Workers that leave without a word.
-	former  map[string]fleet.Worker // By worker: the last record of the life before the present one.
-	untold  bool                    // Workers don't tell when they started.
-	stops   time.Duration           // How long a stop takes.
-	drift   float64                 // Share by which the clocks of workers are slow that are added.
+	// By departing worker, announced or not: the time until which it surely stays.
+	dueAt  map[string]time.Time
+	unsaid map[string]bool         // Workers that leave without an announcement.
+	former map[string]fleet.Worker // By worker: the last record of its previous incarnation.
+	untold bool                    // Workers don't report when they started.
+	stops  time.Duration           // Time that a stop takes.
+	drift  float64                 // Share by which the clocks of newly added workers run slow.
 }
 
-// record is a worker's entry as of a version.
+// record is a worker's record with the version at which it was last written.
 type record struct {
 	worker  fleet.Worker
 	version int64
 	gone    bool
 }
 
-// gangRun names a run of a gang.
+// gangRun identifies a run of a gang.
 type gangRun struct {
 	job    job.ID
 	group  job.Group
@@ -76,7 +78,7 @@
 	gangDone
 )
 
-// NewFleet returns a fleet without workers that lives until ctx ends.
+// NewFleet returns a fleet without workers that runs until ctx ends.
 func NewFleet(ctx context.Context, maxLease, gangWait time.Duration) *Fleet {
 	return &Fleet{
 		MaxLease: maxLease, GangWait: gangWait, ctx: ctx, workers: map[string]*worker{}, records: map[string]record{},
@@ -90,7 +92,7 @@
 	return f.begin(w, 0)
 }
 
-// begin starts a life of a worker, which writes its first record after a time, and returns that.
+// begin starts an incarnation of a worker and returns its first record, which it writes after the time unlisted.
 func (f *Fleet) begin(record fleet.Worker, unlisted time.Duration) fleet.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,7 +119,7 @@
 	return w.record
 }
 
-// SetUntold says whether workers that start from now on don't tell when they did.
+// SetUntold sets whether workers that start from now on leave out their start time.
 func (f *Fleet) SetUntold(untold bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,21 +133,21 @@
 	f.changed = make(chan struct{})
 }
 
-// SetDrift sets by which share the clocks are slow of workers that are added from now on.
+// SetDrift sets the share by which the clocks of workers added from now on run slow.
 func (f *Fleet) SetDrift(share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drift = share
 }
 
-// Expect tells the fleet how long a job's tasks really take.
+// Expect sets how long a job's tasks really run.
 func (f *Fleet) Expect(r *job.Request, work time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[r.ID], f.work[r.ID] = r, work
 }
 
-// change changes a worker's condition.
+// change applies a fault or a recovery to a worker.
 func (f *Fleet) change(id string, do func(w *worker)) error {
 	f.mu.Lock()
 	w := f.workers[id]
@@ -161,10 +163,11 @@
 	return nil
 }
 
-// Crash ends a life: everything on it is gone and nobody is answered. Its record goes only when it is forgotten.
+// Crash ends a worker's incarnation with all its runs; it answers nobody any more. Its record stays until Forget.
 func (f *Fleet) Crash(id string) error { return f.change(id, func(w *worker) { w.die(false) }) }
 
-// End ends a worker's process: its connections are closed, its address refuses, and its record stays until it is forgotten.
+// End ends a worker's process: its connections are closed and its address refuses new ones. Its record stays until
+// Forget.
 func (f *Fleet) End(id string) error { return f.change(id, func(w *worker) { w.die(true) }) }
 
 // Forget removes a worker's record.
@@ -175,7 +178,7 @@
 	f.put(f.records[id].worker, true)
 }
 
-// Record has a worker write its record anew; one that is dead writes nothing.
+// Record makes a worker write its record again; a dead worker writes nothing.
 func (f *Fleet) Record(id string) {
 	f.mu.Lock()
 	w := f.workers[id]
@@ -189,7 +192,7 @@
 		return
 	}
 	if f.records[id].worker.Born != w.record.Born {
-		f.put(w.record, false) // The one that is there is of another life.
+		f.put(w.record, false) // The present record is of another incarnation.
 		return
 	}
 	if f.records[id].gone {
@@ -202,8 +205,8 @@
 	f.put(record, false)
 }
 
-// Heartbeat has every worker write its record anew at an interval, one worker after the other, until the fleet's context ends.
-// Nothing in the records changes but the time that a leaving worker has left.
+// Heartbeat makes every worker rewrite its record once per interval, one after the other, until the fleet's context
+// ends. Only the time that a departing worker still stays changes in the records.
 func (f *Fleet) Heartbeat(every time.Duration) {
 	go func() {
 		for f.ctx.Err() == nil {
@@ -229,14 +232,14 @@
 	return !f.records[id].gone
 }
 
-// RecordReads is how many answers those who follow the records got.
+// RecordReads returns the number of answers to reads of the worker records.
 func (f *Fleet) RecordReads() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reads
 }
 
-// Drain marks a worker's record as draining.
+// Drain marks a worker's record as draining; the worker stays for the time leaves.
 func (f *Fleet) Drain(id string, leaves time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -247,7 +250,8 @@
 	f.put(w, false)
 }
 
-// LeaveUnsaid removes the record of a worker that leaves without a word and stays for a time. It writes none any more.
+// LeaveUnsaid removes the record of a worker that leaves without an announcement and stays for a time. It writes no
+// record after that.
 func (f *Fleet) LeaveUnsaid(id string, stays time.Duration) {
 	f.Forget(id)
 	f.mu.Lock()
@@ -256,24 +260,24 @@
 	f.unsaid[id] = true
 }
 
-// isDraining reports whether a worker's last record says that it leaves.
+// isDraining reports whether a worker's last record says that it drains.
 func (f *Fleet) isDraining(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.records[id].worker.Draining
 }
 
-// Fail makes everything that starts on a worker fail, or ends that.
+// Fail makes all runs on a worker fail, earlier ones included, or ends this fault.
 func (f *Fleet) Fail(id string, fail bool) error {
 	return f.change(id, func(w *worker) { w.fails = fail })
 }
 
-// Spoil makes everything that starts on a worker from now on fail, or ends that.
+// Spoil makes runs that start on a worker from now on fail, or ends this fault.
 func (f *Fleet) Spoil(id string, spoil bool) error {
 	return f.change(id, func(w *worker) { w.spoils = spoil })
 }
 
-// Stick makes the work on a worker stand still, or go on.
+// Stick stops the progress of the work on a worker, or lets it continue.
 func (f *Fleet) Stick(id string, stuck bool) error {
 	return f.change(id, func(w *worker) { w.stuck = stuck })
 }
@@ -281,23 +285,23 @@
 // Slow makes all work on a worker take n times as long.
 func (f *Fleet) Slow(id string, n int) error { return f.change(id, func(w *worker) { w.slower = n }) }
 
-// Late lets the next n orders to a worker go unanswered and be carried out late.
+// Late makes the next n commands to a worker get no answer and take effect after a default delay.
 func (f *Fleet) Late(id string, n int) error { return f.LateBy(id, n, lateBy) }
 
-// LateBy lets the next n orders to a worker go unanswered and be carried out so much later.
+// LateBy makes the next n commands to a worker get no answer and take effect after a delay.
 func (f *Fleet) LateBy(id string, n int, by time.Duration) error {
 	return f.change(id, func(w *worker) { w.late, w.lateBy = n, by })
 }
 
-// LateLooks lets the next n looks at a worker go unanswered and be carried out so much later.
+// LateLooks makes the next n polls of a worker get no answer and take effect after a delay.
 func (f *Fleet) LateLooks(id string, n int, by time.Duration) error {
 	return f.change(id, func(w *worker) { w.lateLooks, w.lateLookBy = n, by })
 }
 
-// Mute lets the next n orders to a worker be carried out without an answer.
+// Mute makes the next n commands and polls of a worker get no answer; the commands take effect.
 func (f *Fleet) Mute(id string, n int) error { return f.change(id, func(w *worker) { w.mute = n }) }
 
-// Refuse makes a worker refuse starts, or take them again.
+// Refuse makes a worker refuse starts, or accept them again.
 func (f *Fleet) Refuse(id string, refuse bool) error {
 	return f.change(id, func(w *worker) { w.refuse = refuse })
 }
--- a/internal/emulator/gate.go
+++ b/internal/emulator/gate.go
@@ -1,5 +1,5 @@
-// Package emulator stands in for the platform: a store of rows, workers and their records, with the faults that the real
-// ones have. Everything is in memory and runs on the clock of the runtime, so that tests can pause and advance it.
+// Package emulator replaces the platform in tests: a store of rows, workers and their records, with the faults of the
+// real ones. Everything is in memory and runs on the clock of the runtime, so that tests can pause and advance it.
 package emulator
 
 import (
@@ -10,30 +10,31 @@
 	"github.com/pulleyring/pulleyring/internal/interval"
 )
 
-// Gate stands between one box and everything it calls. Its zero value lets calls through.
+// Gate controls all calls that one box makes. Its zero value lets them pass.
 type Gate struct {
-	Box string // Its name, for conditions that hold for one box only.
+	Box string // Name of the box, for faults that affect only one box.
 
 	mu     sync.Mutex
-	frozen time.Time // Calls wait until then.
-	killed bool      // Calls never happen and never return.
+	frozen time.Time // Calls wait until this time.
+	killed bool      // Calls have no effect and return only when their context ends.
 }
 
-// Freeze holds back the box's calls for a time, as when its process stands still.
+// Freeze delays the box's calls for a time, as when its process is suspended.
 func (g *Gate) Freeze(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.frozen = time.Now().Add(d)
 }
 
-// Kill lets no call of the box through any more.
+// Kill blocks all further calls of the box.
 func (g *Gate) Kill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.killed = true
 }
 
-// pass waits while the box is frozen and reports whether the call may go on; a killed box's call waits for its end.
+// pass waits while the box is frozen and reports whether the call may proceed. A call of a killed box waits until its
+// context ends.
 func (g *Gate) pass(ctx context.Context) bool {
 	for {
 		g.mu.Lock()
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -9,35 +9,40 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// judge notes what the workers were ordered and finds what must never happen.
+// judge records what the workers were told to do and finds violations of the scheduler's promises.
 type judge struct {
-	running map[job.Task]life.ID // Where a task runs now.
+	running map[job.Task]life.ID // The worker incarnation that runs a task now.
 	ends
 	waits
-	emptied      map[string]time.Time      // By hall: since when nothing more may start there.
-	crashed      map[job.Task]int          // Workers that crashed under a task, as it crashes them.
-	givenUpAfter int                       // How many such runs let a job be given up; 0 for never.
-	lostBy       map[job.Task]map[int]bool // Runs of a task with which a worker's process ended, whatever ended it, also before the order to start them reached it.
-	// restarted counts the starts of a task after that were too many.
+	emptied map[string]time.Time // By hall: the time at which it was emptied.
+	crashed map[job.Task]int     // Number of workers that crashed under a poisoned task.
+	// Number of lost runs of a task after which its job may fail as crash-looping; 0 for never.
+	givenUpAfter int
+	// Runs of a task lost with their worker's process, whatever ended it; includes runs whose start command came too
+	// late to reach it.
+	lostBy map[job.Task]map[int]bool
+	// restarted counts the starts of a task after too many workers had crashed under it.
 	restarted map[job.Task]int
 	counts    Verdict
 }
 
-// Verdict counts broken promises and what ran.
+// Verdict lists violations of the scheduler's promises and counts starts, stops and ends.
 type Verdict struct {
-	Twice []string // Two runs of a task at a time, or one after it was done.
-	// Unheard is starts as in Twice that a worker carried out late, before its life had taken any other order: no box could know of that life, nor have it refuse them.
+	Twice []string // Two runs of a task at a time, or a run after the task was done.
+	// Unheard lists starts like those in Twice that a worker carried out late, before its incarnation had taken any
+	// other command. No box could know of that incarnation, nor make it refuse them.
 	Unheard  []string
-	Unasked  []string       // Starts of what nobody handed in, or with another payload.
-	TooEarly []string       // Starts before an earlier step was done.
-	Emptied  []string       // Starts in a hall that was emptied more than EmptyWithin before.
-	Budget   []string       // Starts of a task after too many workers had crashed under it, or after its attempts had failed.
-	Waits    []string       // Jobs of which nothing ran for too long beside room for them.
-	InHall   map[string]int // Starts by hall.
-	Starts   int
-	Fenced   int // Orders of a replaced box.
-	Stops    int // Orders to stop that were taken.
-	Ends     map[job.Outcome]int
+	Unasked  []string // Starts of tasks that nobody submitted, or with another payload.
+	TooEarly []string // Starts before an earlier step was done.
+	Emptied  []string // Starts in a hall more than EmptyWithin after it was emptied.
+	// Starts of a task after too many workers had crashed under it, or after all its attempts had failed.
+	Budget []string
+	Waits  []string       // Jobs that had nothing running for too long although there was free capacity.
+	InHall map[string]int // Number of starts by hall.
+	Starts int
+	Fenced int // Commands refused because they came from a replaced box.
+	Stops  int // Stop commands that workers accepted.
+	Ends   map[job.Outcome]int
 }
 
 func newJudge() judge {
@@ -55,14 +60,16 @@
 	return f.judge.counts
 }
 
-// SetGivenUpAfter says after how many crashes of workers under one of its tasks, whatever made them crash, a job may be given up; 0 for never.
+// SetGivenUpAfter sets the number of worker crashes under one task, whatever caused them, after which its job may
+// fail as crash-looping; 0 for never.
 func (f *Fleet) SetGivenUpAfter(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.judge.givenUpAfter = n
 }
 
-// MayBeGivenUp reports whether so many workers have crashed under a task of a job that it may be given up.
+// MayBeGivenUp reports whether enough workers have crashed under a task of a job that the job may fail as
+// crash-looping.
 func (f *Fleet) MayBeGivenUp(id job.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,7 +95,7 @@
 	f.judge.lostBy[t][run] = true
 }
 
-// Running is how many tasks run now.
+// Running returns the number of tasks that run now.
 func (f *Fleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +114,7 @@
 	f.judge.counts.Fenced++
 }
 
-// activity turns a start into a run with the length that the job was said to have.
+// activity returns the run for a start command, with the duration that Expect has set for the job.
 func (f *Fleet) activity(o *fleet.Start) *activity {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,7 +153,7 @@
 	return gangRun{a.task.Job, job.Group{Occurrence: a.task.Occurrence, Step: a.task.Step}, a.number}
 }
 
-// started notes a start and judges it.
+// started records a start and checks it.
 func (f *Fleet) started(w *worker, a *activity) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,7 +178,8 @@
 	f.gangOf(a).present[a.task.Index] = true
 }
 
-// twice tells beside which run of its task, or after which end, a run starts. The caller holds the lock.
+// twice describes each run of the same task that is still running, or its earlier success, when a run starts. The
+// caller holds the lock.
 func (f *Fleet) twice(w *worker, a *activity) (found []string) {
 	if at, runs := f.judge.running[a.task]; runs {
 		found = append(found, fmt.Sprintf("%s on %s and %s", a.task, at, w.life))
@@ -182,7 +190,7 @@
 	return found
 }
 
-// gangOf returns the gang that a run is a member of. The caller holds the lock.
+// gangOf returns the gang to which a run belongs. The caller holds the lock.
 func (f *Fleet) gangOf(a *activity) *gang {
 	g := f.gangs[a.gangRun()]
 	if g == nil {
@@ -192,7 +200,7 @@
 	return g
 }
 
-// end notes how a member has ended.
+// end records how a member has ended.
 func (g *gang) end(outcome job.Outcome) {
 	g.over = g.over || outcome != job.Succeeded
 	g.done = g.done || outcome == job.Succeeded
@@ -213,7 +221,7 @@
 	}
 }
 
-// judgeHall finds starts in emptied halls; orders that the worker itself carried out late don't count.
+// judgeHall finds starts in emptied halls. Commands that the worker itself carried out late don't count.
 func (f *Fleet) judgeHall(w *worker, a *activity) {
 	c, hall := &f.judge.counts, w.record.Hall
 	c.InHall[hall]++
@@ -222,7 +230,7 @@
 	}
 }
 
-// Empty notes that the operator has emptied a hall, or taken it back.
+// Empty records that the operator has emptied a hall, or returned it to service.
 func (f *Fleet) Empty(hall string, emptied bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -234,7 +242,7 @@
 	f.judge.emptied[hall] = time.Now()
 }
 
-// ended notes an end.
+// ended records the end of a run.
 func (f *Fleet) ended(w *worker, a *activity, outcome job.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -254,7 +262,7 @@
 	g.end(outcome)
 }
 
-// gangState tells a member where its gang stands.
+// gangState returns the state of a run's gang; gangRunning for a single task.
 func (f *Fleet) gangState(a *activity) gangState {
 	if a.gang == 0 {
 		return gangRunning
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -8,20 +8,20 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// Network lets boxes call the store through each other. Its zero value is ready.
+// Network lets boxes call the store through each other. Its zero value is ready to use.
 type Network struct {
 	mu    sync.Mutex
 	boxes map[string]*sharedStore
-	cut   map[string]bool // Boxes that no other box reaches, and that reach none.
+	cut   map[string]bool // Boxes that are cut off from all other boxes.
 }
 
-// sharedStore is what a box passes on, behind that box's gate.
+// sharedStore is the store that a box offers to others, behind that box's gate.
 type sharedStore struct {
 	store.Peer
 	gate *Gate
 }
 
-// Serve lets other boxes call a store at an address, behind the gate of the box that serves it.
+// Serve makes a store available to other boxes at an address, behind the gate of the box that serves it.
 func (n *Network) Serve(address string, s store.Peer, gate *Gate) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,7 +31,7 @@
 	n.boxes[address] = &sharedStore{s, gate}
 }
 
-// Cut parts a box from all others.
+// Cut cuts a box off from all others.
 func (n *Network) Cut(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,7 +45,7 @@
 	clear(n.cut)
 }
 
-// For returns the network as the box at an address sees it; it implements relay.Network.
+// For returns the network as the box at an address sees it.
 func (n *Network) For(address string, gate *Gate) *NetworkView { return &NetworkView{n, address, gate} }
 
 // NetworkView is the network as one box sees it.
@@ -58,16 +58,16 @@
 // Peer implements relay.Network.
 func (v *NetworkView) Peer(address string) store.Peer { return &link{v, address} }
 
-// link is a box's way to another one.
+// link carries a box's calls to another box. It implements store.Peer.
 type link struct {
 	view *NetworkView
 	peer string
 }
 
-// linkTimeout bounds a call through another box, as the real client does.
+// linkTimeout bounds a call through another box, with the value of the real client.
 const linkTimeout = 1400 * time.Millisecond
 
-// open waits until the calling box runs and the other one can be reached.
+// open waits until the calling box may proceed and returns the other box's store if that box can be reached.
 func (l *link) open(ctx context.Context) (*sharedStore, error) {
 	if !l.view.gate.pass(ctx) {
 		return nil, store.ErrUnknown
--- a/internal/emulator/signs.go
+++ b/internal/emulator/signs.go
@@ -9,25 +9,28 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// signs is what makes a worker look gone that lives, and how one goes. The zero value is a worker that all boxes reach.
+// signs holds the faults that make a live worker look gone, and how its process ends. The zero value is a worker that
+// all boxes reach.
 type signs struct {
-	cutFrom  map[string]bool // Boxes that it answers nothing, though it answers others.
-	shutFrom map[string]bool // Boxes whose connections to it are closed and refused; everyBox for all.
-	holdBack time.Duration   // The next answer to a look comes so much later.
-	answers  time.Duration   // All answers come so much later.
-	told     int64           // Number of the last end that a box has been told.
-	parting  bool            // Its process is about to end, and what it still answers is lost.
-	// leaseKept says that what it listed last counts for as long as its lease would have run.
+	cutFrom  map[string]bool // Boxes that get no answer, though others do.
+	shutFrom map[string]bool // Boxes whose connections are closed and refused; everyBox for all.
+	holdBack time.Duration   // Extra delay of the next answer to a poll.
+	answers  time.Duration   // Extra delay of all answers.
+	told     int64           // Number of the last end that a box has received.
+	parting  bool            // The process is about to end, and its remaining answers are lost.
+	// leaseKept says that the last listed ends count until the lease would have expired, though the process has
+	// ended.
 	leaseKept bool
-	disturbed time.Time // When a condition of it last changed.
-	// leftAsSaid says that its process has ended once the time was over for which it had said that it stays, or for which one stays that doesn't say so.
+	disturbed time.Time // Time of the last change of the worker's faults.
+	// leftAsSaid says that the process ended only after the time for which it had announced to stay. For a worker
+	// that leaves unannounced, it is the usual time.
 	leftAsSaid bool
 }
 
 // everyBox stands for all boxes.
 const everyBox = ""
 
-// Cut makes a worker run on without answering, or answer again.
+// Cut makes a worker stop answering while it continues to run, or answer again.
 func (f *Fleet) Cut(id string, cut bool) error {
 	return f.change(id, func(w *worker) {
 		w.cut = cut
@@ -37,7 +40,7 @@
 	})
 }
 
-// CutFrom makes a worker run on without answering one box, or answer it again.
+// CutFrom makes a worker stop answering one box while it continues to run, or answer it again.
 func (f *Fleet) CutFrom(id, box string, cut bool) error {
 	return f.change(id, func(w *worker) {
 		if w.cutFrom == nil {
@@ -47,8 +50,8 @@
 	})
 }
 
-// Shut closes what stands in front of a worker, or opens it again for all: connections of a box, or of all boxes where none is named, end in
-// order, and new ones are refused. The worker runs on.
+// Shut closes the worker's connections to one box, or to all boxes with everyBox, and refuses new ones; shut false
+// accepts them again. With everyBox that covers all boxes. The worker continues to run.
 func (f *Fleet) Shut(id, box string, shut bool) error {
 	return f.change(id, func(w *worker) {
 		if w.shutFrom == nil {
@@ -62,17 +65,17 @@
 	})
 }
 
-// HoldBack makes the next answer to a look come later, after newer ones.
+// HoldBack delays the next answer to a poll, so that newer answers may overtake it.
 func (f *Fleet) HoldBack(id string, d time.Duration) error {
 	return f.change(id, func(w *worker) { w.holdBack = d })
 }
 
-// AnswerLate makes all answers of a worker come later: it is busy, or its machine is.
+// AnswerLate delays all answers of a worker, as when it or its machine is busy.
 func (f *Fleet) AnswerLate(id string, d time.Duration) error {
 	return f.change(id, func(w *worker) { w.answers = d })
 }
 
-// heldBack is how much later an answer to a look comes; the next one comes as usual again.
+// heldBack returns the delay of an answer to a poll, and ends the delay that was set for one answer only.
 func (w *worker) heldBack() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +84,7 @@
 	return d
 }
 
-// tell notes that a box has been told of ends.
+// tell records that a box has received ends.
 func (w *worker) tell(ends []fleet.End) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -90,7 +93,8 @@
 	}
 }
 
-// outcomeFor is what an order of a box to a worker that is over or out of its reach comes to; nil for one that it may reach.
+// outcomeFor returns the error of a command from a box to a worker that has ended or is out of its reach; nil if the
+// box reaches it.
 func (w *worker) outcomeFor(box string) error {
 	switch {
 	case w.replaced:
@@ -115,7 +119,8 @@
 	return w.cut || w.late > 0 || w.lateLooks > 0 || w.mute > 0 || w.holdBack > 0 || w.answers > 0
 }
 
-// untilHangUp waits until a process ends that answers nothing any more.
+// untilHangUp waits until the process of a worker that answers no more ends, or ctx does, and returns the error that
+// the box sees.
 func untilHangUp(ctx context.Context, changed <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
@@ -125,48 +130,52 @@
 	}
 }
 
-// LastMoments is how a worker's process ends just after a run there.
+// LastMoments says how a worker's process ends just after a run there.
 type LastMoments struct {
-	Lost  bool // What it answers in that time is lost.
-	Due   bool // Only once the time has passed for which it said that it stays.
-	Crash bool // It crashes, as SetCrash said; otherwise it leaves as it had said.
+	Lost bool // Answers are lost between the end of the run and that of the process.
+	Due  bool // Applies only once the time has passed for which the worker stays.
+	// The process crashes in the way that SetCrash has set; otherwise the worker leaves as announced.
+	Crash bool
 }
 
 const (
-	// lastMoments is how long before the end of a process a run may end there and be listed.
+	// lastMoments is the time from the end of a run to that of the process.
 	lastMoments = 5 * time.Millisecond
-	// recordAfter is how soon after its process a worker's record goes that leaves; seen: 2 to 35 ms.
+	// recordAfter is the time from the end of a departing worker's process to the removal of its record; 2 to 35 ms
+	// were seen.
 	recordAfter = 20 * time.Millisecond
 )
 
-// EndWith ends the process of a worker a few ms after it has listed the next run of a job as done.
+// EndWith ends a worker's process a few ms after it has listed the next successful run of a job.
 func (f *Fleet) EndWith(id job.ID, how LastMoments) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lasts[id] = how
 }
 
-// isDue reports whether a worker has stayed for as long as it said. The caller holds the lock.
+// isDue reports whether the time has passed for which a departing worker stays. The caller holds the lock.
 func (f *Fleet) isDue(id string) bool {
 	due, said := f.dueAt[id]
 	return said && !time.Now().Before(due)
 }
 
-// SetStops sets how long a stop takes; what is being stopped works no more and takes its room until then.
+// SetStops sets how long a stop takes. Until then a run that is being stopped makes no progress but uses its
+// resources.
 func (f *Fleet) SetStops(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stops = d
 }
 
-// stopTime is how long a stop takes.
+// stopTime returns how long a stop takes.
 func (f *Fleet) stopTime() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stops
 }
 
-// beginLastMoments ends the worker's process soon where that was asked for with the end of a run. The caller holds the worker's lock.
+// beginLastMoments schedules the end of the worker's process if EndWith asked for it with this job. The caller holds
+// the worker's lock.
 func (w *worker) beginLastMoments(id job.ID) {
 	f := w.fleet
 	f.mu.Lock()
@@ -183,7 +192,7 @@
 	time.AfterFunc(lastMoments, func() { w.endProcess(how) })
 }
 
-// endProcess ends a process after its last moments.
+// endProcess ends a worker's process as EndWith asked.
 func (w *worker) endProcess(how LastMoments) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -13,31 +13,31 @@
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
-// Store is the platform's store. Make it with NewStore.
+// Store emulates the platform's store. Make it with NewStore.
 type Store struct {
 	mu      sync.Mutex
 	random  *rand.Rand
 	version int64
 	rows    map[store.Key]map[string]store.Row // By table and part, then by name.
-	history []store.Row                        // Every change in order.
-	oldest  int64                              // Feeds from before this version are refused.
+	history []store.Row                        // All changes, in order.
+	oldest  int64                              // Feeds that begin before this version are refused.
 	changed chan struct{}
 
 	latency  time.Duration
-	commits  time.Duration // How much longer a transaction takes.
+	commits  time.Duration // Extra time that a transaction takes.
 	outage   outage
 	cut      map[string]outage // By box.
-	loseRate float64           // Share of writes that are done and not answered.
-	deaf     bool              // Feeds tell of nothing.
-	partsOut map[string]bool   // Parts whose calls get no answer and are not carried out.
-
-	perRow time.Duration        // How long a row takes over a box's link.
-	links  map[string]time.Time // By box: when its link has carried everything.
-	reads  map[string]int       // Reads that were answered, by table.
-	turns  map[string]time.Time // By part: when its queue of transactions is worked off.
+	loseRate float64           // Share of writes that take effect but get no answer.
+	deaf     bool              // Feeds deliver no changes.
+	partsOut map[string]bool   // Parts whose calls get no answer and have no effect.
+
+	perRow time.Duration        // Time to transfer a row over a box's link.
+	links  map[string]time.Time // By box: the time at which its link becomes idle.
+	reads  map[string]int       // Answered reads, by table.
+	turns  map[string]time.Time // By part: the time at which its queue of transactions becomes empty.
 }
 
-// outage is how the store fails.
+// outage is the way in which the store fails.
 type outage int
 
 const (
@@ -46,10 +46,10 @@
 	silent
 )
 
-// Latencies of the store (the pages: 5 ms a transaction).
+// storeLatency is the time that a transaction takes, as the platform's pages give it.
 const storeLatency = 5 * time.Millisecond
 
-// NewStore returns an empty store whose faults are drawn from a seed.
+// NewStore returns an empty store; seed determines its random faults.
 func NewStore(seed uint64) *Store {
 	return &Store{
 		random: rand.New(rand.NewPCG(seed, 1)), rows: map[store.Key]map[string]store.Row{}, changed: make(chan struct{}),
@@ -60,10 +60,10 @@
 // SetBusy makes the store refuse every call.
 func (s *Store) SetBusy() { s.set(func() { s.outage = busy }) }
 
-// SetSilent makes the store answer nobody; nothing is done.
+// SetSilent makes the store answer no call and carry out none.
 func (s *Store) SetSilent() { s.set(func() { s.outage = silent }) }
 
-// SetUp ends an outage, slowness and lost answers.
+// SetUp ends outages, cuts, slowness, lost answers and stalled feeds.
 func (s *Store) SetUp() {
 	s.set(func() {
 		s.outage, s.latency, s.loseRate, s.cut, s.deaf = up, storeLatency, 0, map[string]outage{}, false
@@ -74,14 +74,14 @@
 // SetSlow sets how long a call takes.
 func (s *Store) SetSlow(d time.Duration) { s.set(func() { s.latency = d }) }
 
-// SetCommitsSlow sets how much longer a transaction takes than other calls.
+// SetCommitsSlow sets the extra time that a transaction takes.
 func (s *Store) SetCommitsSlow(d time.Duration) { s.set(func() { s.commits = d }) }
 
-// SetThin sets how long a row that is read takes over a box's link to the store. Answers come in the order in which the
-// store gave them.
+// SetThin sets the time to transfer a row over a box's link to the store. Answers arrive in the order in which the
+// store sent them.
 func (s *Store) SetThin(perRow time.Duration) { s.set(func() { s.perRow = perRow }) }
 
-// carry waits until a box's link has carried an answer with so many rows.
+// carry waits until a box's link has transferred an answer with a number of rows.
 func (s *Store) carry(ctx context.Context, box string, rows int) error {
 	s.mu.Lock()
 	now := time.Now()
@@ -97,16 +97,16 @@
 	return nil
 }
 
-// SetLose makes a share of the writes go unanswered although they are done.
+// SetLose sets the share of writes that take effect but get no answer.
 func (s *Store) SetLose(share float64) { s.set(func() { s.loseRate = share }) }
 
-// Cut makes the store answer one box nothing.
+// Cut makes the store answer no call of a box.
 func (s *Store) Cut(box string) { s.set(func() { s.cut[box] = silent }) }
 
 // Refuse makes the store refuse one box's calls.
 func (s *Store) Refuse(box string) { s.set(func() { s.cut[box] = busy }) }
 
-// SetPartOut makes the calls of one part end without an answer and without effect; feeds go on.
+// SetPartOut makes the calls of one part fail without an answer and without effect; feeds continue.
 func (s *Store) SetPartOut(part string) {
 	s.set(func() {
 		if s.partsOut == nil {
@@ -116,7 +116,7 @@
 	})
 }
 
-// partOut ends a call of a part that is out, as a reset connection does.
+// partOut returns the error of a call to a failed part, as after a reset connection; nil if the part works.
 func (s *Store) partOut(part string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,10 +126,10 @@
 	return nil
 }
 
-// SetDeaf makes feeds tell of nothing, as before a loss of history.
+// SetDeaf makes feeds deliver no changes, as before a loss of history.
 func (s *Store) SetDeaf() { s.set(func() { s.deaf = true }) }
 
-// Rows counts the rows of a table.
+// Rows returns the number of rows of a table.
 func (s *Store) Rows(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,10 +142,10 @@
 	return n
 }
 
-// partKey is the key of a row without its name.
+// partKey returns the key of a row without its name.
 func partKey(k store.Key) store.Key { return store.Key{Table: k.Table, Part: k.Part} }
 
-// Parts lists the parts of a table after one, in order.
+// Parts lists the non-empty parts of a table that come after a given part, in order.
 func (s *Store) Parts(table, after string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,17 +158,17 @@
 	return slices.Sorted(maps.Keys(parts))
 }
 
-// Reads counts the reads of a table that were answered.
+// Reads returns the number of answered reads of a table.
 func (s *Store) Reads(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads[table]
 }
 
-// Compact drops the history, so that feeds must begin anew.
+// Compact drops the history, so that feeds must start again.
 func (s *Store) Compact() { s.set(func() { s.oldest, s.history = s.version, nil }) }
 
-// Operate carries out a transaction of the operator's, whose path to the store never fails.
+// Operate carries out a transaction of the operator, whose connection to the store never fails.
 func (s *Store) Operate(tx *store.Transaction) { s.set(func() { s.change(tx) }) }
 
 func (s *Store) set(f func()) {
@@ -186,10 +186,11 @@
 	gate  *Gate
 }
 
-// callTimeout bounds a call, as the adapter's does.
+// callTimeout bounds a call, with the value of the real adapter.
 const callTimeout = 1200 * time.Millisecond
 
-// begin waits for a call's turn and reports how the store treats it.
+// begin applies the store's latency and faults to a call. It returns the call's context with its timeout, and an
+// error if the call fails.
 func (v *storeView) begin(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	if !v.gate.pass(ctx) {
@@ -214,10 +215,10 @@
 	return ctx, cancel, nil
 }
 
-// maxQueue is how much work may wait at a part before it refuses more.
+// maxQueue is the time that queued transactions of a part may take before the part refuses more.
 const maxQueue = time.Second
 
-// turn waits until a part has worked off the transactions before this one; it reports whether the part takes it at all.
+// turn waits until the part has finished earlier transactions; it returns store.ErrRefused if its queue is full.
 func (s *Store) turn(ctx context.Context, part string) error {
 	s.mu.Lock()
 	now := time.Now()
@@ -238,7 +239,7 @@
 	return nil
 }
 
-// partOf is the part that a transaction changes.
+// partOf returns the part that a transaction changes.
 func partOf(tx *store.Transaction) string {
 	for _, w := range tx.Writes {
 		return w.Part
@@ -298,7 +299,7 @@
 	return s.change(tx), nil, lost
 }
 
-// change carries a transaction out, whatever its conditions, and returns its version. The caller holds the lock.
+// change applies a transaction without checking its conditions and returns its version. The caller holds the lock.
 func (s *Store) change(tx *store.Transaction) int64 {
 	s.version++
 	for _, w := range tx.Writes {
@@ -335,7 +336,7 @@
 	return page, v.store.carry(ctx, v.box, len(page.Rows))
 }
 
-// page is the rows of a range as they are.
+// page returns the current rows of a range.
 func (s *Store) page(r store.Range) store.Page {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/view.go
+++ b/internal/emulator/view.go
@@ -12,16 +12,16 @@
 // For returns the fleet as one box sees it.
 func (f *Fleet) For(gate *Gate) *View { return &View{f, gate} }
 
-// View is a fleet as one box sees it; it implements fleet.Orders and scheduler.Directory.
+// View is a fleet as one box sees it; it implements fleet.Commands and scheduler.Directory.
 type View struct {
 	fleet *Fleet
 	gate  *Gate
 }
 
-// orderLatency is how long an order is under way.
+// orderLatency is the time that a command takes to arrive.
 const orderLatency = time.Millisecond
 
-// reach finds the worker of an order and waits for the order's turn.
+// reach waits until a command arrives and returns its worker.
 func (v *View) reach(ctx context.Context, target *fleet.Worker) (*worker, error) {
 	if !v.gate.pass(ctx) || !interval.Sleep(ctx, orderLatency) {
 		return nil, fleet.ErrNoAnswer
@@ -36,12 +36,12 @@
 	return w, nil
 }
 
-// isAt reports whether a worker is reached where an order is sent. One that has no address in the fleet is reached by other means.
+// isAt reports whether a command's target has the worker's address. A worker without an address matches every target.
 func (w *worker) isAt(target *fleet.Worker) bool {
 	return w.record.Address == "" || w.record.Address == target.Address
 }
 
-// order carries an order out, at once or late.
+// order carries a command out, at once or late, and returns the worker's clock in ms.
 func (v *View) order(ctx context.Context, target *fleet.Worker, do func(w *worker) error) (int64, error) {
 	w, err := v.reach(ctx, target)
 	if err != nil {
@@ -85,7 +85,8 @@
 	return clock, err
 }
 
-// carryOutLate carries an order out at the life that the worker has by then, as it names no other. Nobody hears the answer.
+// carryOutLate carries a delayed command out on the worker's current incarnation, as the command names none. The
+// answer is dropped.
 func (f *Fleet) carryOutLate(target *fleet.Worker, do func(w *worker) error) {
 	f.mu.Lock()
 	w := f.workers[target.ID]
@@ -100,7 +101,7 @@
 	w.belated = false
 }
 
-// Start implements fleet.Orders.
+// Start implements fleet.Commands.
 func (v *View) Start(ctx context.Context, target *fleet.Worker, o *fleet.Start) (int64, error) {
 	v.fleet.mu.Lock()
 	w := v.fleet.workers[target.ID]
@@ -111,12 +112,12 @@
 	return v.order(ctx, target, func(w *worker) error { return w.start(o) })
 }
 
-// Stop implements fleet.Orders.
+// Stop implements fleet.Commands.
 func (v *View) Stop(ctx context.Context, target *fleet.Worker, o *fleet.Stop) (int64, error) {
 	return v.order(ctx, target, func(w *worker) error { return w.stop(o) })
 }
 
-// Look implements fleet.Orders.
+// Look implements fleet.Commands.
 func (v *View) Look(ctx context.Context, target *fleet.Worker, o *fleet.Look) (fleet.Report, error) {
 	w, err := v.reach(ctx, target)
 	if err != nil {
@@ -166,7 +167,7 @@
 	}
 }
 
-// answer carries a worker's answer to a look back to the box, after newer ones where it is held back.
+// answer delivers a worker's answer to a poll to the box, after the delay that is set.
 func (v *View) answer(ctx context.Context, w *worker, report fleet.Report, err error) (fleet.Report, error) {
 	if d := w.heldBack(); d > 0 && !interval.Sleep(ctx, d) {
 		return fleet.Report{}, fleet.ErrNoAnswer
@@ -178,7 +179,8 @@
 	return report, err
 }
 
-// lookAtEnded is how a look ends whose worker's process has ended: before it was sent, or while it waited.
+// lookAtEnded returns the error of a poll whose worker's process has ended; before says that it ended before the poll
+// arrived.
 func lookAtEnded(before bool) error {
 	if before {
 		return fleet.ErrNotListening
@@ -186,7 +188,7 @@
 	return fleet.ErrHungUp
 }
 
-// muted reports whether a look gets no answer, and counts it.
+// muted reports whether a poll gets no answer, and counts it.
 func (w *worker) muted() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,7 +199,7 @@
 	return true
 }
 
-// looksLate reports whether a look gets no answer and is carried out late, and counts it.
+// looksLate reports whether a poll gets no answer and takes effect late, and counts it; by is the delay.
 func (w *worker) looksLate() (by time.Duration, isLate bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/waits.go
+++ b/internal/emulator/waits.go
@@ -8,24 +8,26 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// waits is what is followed of jobs that have nothing running beside room for them. The zero value follows none.
+// waits records which jobs have nothing running although there is free capacity. The zero value has no jobs.
 type waits struct {
 	accepted  map[job.ID]bool
-	since     map[job.ID]time.Time // Since when a job has nothing running, though it could.
-	told      map[job.ID]bool      // It was found to wait for too long.
-	disturbed time.Time            // When something happened to a worker last.
+	since     map[job.ID]time.Time // Time since which a job has nothing running, though it could run.
+	told      map[job.ID]bool      // The job was already reported as waiting for too long.
+	disturbed time.Time            // Time of the last change of a worker.
 }
 
 const (
-	// waitsMost is how long a job may have nothing running beside room for it twice over (the users' rules).
+	// waitsMost is how long a job may have nothing running while there is free capacity for it twice over (the users'
+	// rules).
 	waitsMost = 3 * time.Second
-	// waitsTick is how often that is looked at.
+	// waitsTick is the interval between checks.
 	waitsTick = 100 * time.Millisecond
-	// settledAfter is how long nothing must have happened before: as long as a successor waits at most for leases of a silent worker, 15 s here.
+	// settledAfter is how long nothing must have changed before a check. It exceeds the longest time that a successor
+	// waits for leases of an unresponsive worker, 15 s here.
 	settledAfter = 20 * time.Second
 )
 
-// Accept tells the fleet that a job was accepted.
+// Accept records that a job was accepted.
 func (f *Fleet) Accept(id job.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,28 +37,29 @@
 	f.judge.accepted[id] = true
 }
 
-// Withdraw tells the fleet that its caller may have cancelled a job.
+// Withdraw records that a job may have been cancelled by its caller.
 func (f *Fleet) Withdraw(id job.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.judge.accepted, id)
 }
 
-// disturb notes that something happens to a worker.
+// disturb records a change of a worker.
 func (f *Fleet) disturb() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.judge.disturbed = time.Now()
 }
 
-// WatchWaits looks for jobs that wait for too long until the fleet's context ends.
+// WatchWaits checks for jobs that wait for too long until the fleet's context ends.
 func (f *Fleet) WatchWaits() {
 	for interval.Sleep(f.ctx, waitsTick) {
 		f.judgeWaits()
 	}
 }
 
-// judgeWaits finds jobs of which nothing runs for too long in calm, beside room for them.
+// judgeWaits finds jobs that have nothing running for too long without faults, although there is free capacity for
+// them.
 func (f *Fleet) judgeWaits() {
 	var waiting []job.ID
 	if rooms := f.rooms(); rooms != nil {
@@ -79,7 +82,8 @@
 	}
 }
 
-// rooms is the room on each worker that takes work, as its records say; nil while something is wrong, or was lately.
+// rooms returns the capacity of each worker that accepts work, as its record gives it; nil while there is a fault, or
+// shortly after one.
 func (f *Fleet) rooms() []room {
 	f.mu.Lock()
 	if !f.judge.calm(time.Now()) || time.Since(f.judge.impaired) < settledAfter || time.Since(f.judge.disturbed) < settledAfter {
@@ -102,12 +106,12 @@
 	return rooms
 }
 
-// room is what a worker has, and what of it is not in use.
+// room is a worker's total and free capacity.
 type room struct {
 	all, free job.Resources
 }
 
-// room reports whether a worker is well, and its room.
+// room returns the worker's capacity, and reports whether the worker is healthy.
 func (w *worker) room() (room, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +122,7 @@
 	return r, !w.dead && !w.over && !w.hardToReach() && !w.refuse && !w.stuck && !w.fails && !w.spoils
 }
 
-// waiting lists the accepted jobs of which nothing runs, though a task's turn has come and there is room.
+// waiting lists the accepted jobs that have nothing running, though a step of theirs could run now.
 func (f *Fleet) waiting(rooms []room) []job.ID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +131,7 @@
 		runs[t.Job] = true
 	}
 	for t := range f.crashes {
-		runs[t.Job] = true // Its first task can't be done.
+		runs[t.Job] = true // A poisoned task never finishes, so the job counts as running.
 	}
 	var waiting []job.ID
 	for id := range f.judge.accepted {
@@ -156,8 +160,8 @@
 	return could
 }
 
-// stepDone reports whether all tasks of a step are done. That is not known where a worker had listed an end, and may or may not have told it to a box before it
-// went. The caller holds the lock.
+// stepDone reports whether all tasks of a step are done. This is not known if a worker listed an end and ended before
+// a box surely received it. The caller holds the lock.
 func (f *Fleet) stepDone(r *job.Request, step int) (done, known bool) {
 	done, known = true, true
 	for i := range r.Steps[step].Count {
@@ -168,7 +172,8 @@
 	return done, known
 }
 
-// hasRoomTwice reports whether there is room for a task of a step, or for a whole gang, twice over, while less than half of everything is in use.
+// hasRoomTwice reports whether a task of a step, or its whole gang, fits twice while less than half of all capacity
+// is in use.
 func hasRoomTwice(s *job.Step, rooms []room) bool {
 	need := 2
 	if s.Gang {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -13,15 +13,15 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// worker is one life of a worker.
+// worker is one incarnation of a worker.
 type worker struct {
 	mu       sync.Mutex
 	fleet    *Fleet
 	record   fleet.Worker
-	life     life.ID // Told apart also where its records don't.
+	life     life.ID // Unique even if the records of two incarnations are not.
 	born     time.Time
-	listedAt time.Time // It writes no record before.
-	drift    float64   // Share by which its clock is slow.
+	listedAt time.Time // Before this time it writes no record.
+	drift    float64   // Share by which its clock runs slow.
 	token    int64
 	lease    time.Time
 	runs     map[job.Task]*activity
@@ -29,48 +29,48 @@
 	ended    []fleet.End
 	count    int64
 	changed  chan struct{}
-	begun    chan struct{} // A run has begun.
+	begun    chan struct{} // Signals that a run has begun.
 
-	dead bool // Answers nobody and runs nothing.
-	over bool // Its process has ended: nobody listens.
-	// replaced says that another life answers at its address.
+	dead bool // It answers nobody and runs nothing.
+	over bool // Its process has ended: its address refuses connections.
+	// replaced says that another incarnation answers at its address.
 	replaced bool
-	cut      bool // Answers nobody and runs on.
+	cut      bool // It answers nobody but continues to run.
 	signs
-	fails   bool          // Everything there fails, also what began before.
-	spoils  bool          // Everything that starts there fails; what began before goes on.
-	stuck   bool          // Nothing makes progress.
-	slower  int           // How many times longer all work there takes; 0 and 1 for a sound worker.
-	late    int           // So many orders get no answer and are carried out late.
-	lateBy  time.Duration // How late that is.
-	refuse  bool          // Takes no starts.
-	belated bool          // It carries out an order late just now.
-	heard   bool          // It has taken an order in time.
-	// lateLooks is how many looks get no answer and are carried out late, and lateLookBy how late.
+	fails   bool          // All runs fail, earlier ones included.
+	spoils  bool          // Runs that start from now on fail; earlier ones continue.
+	stuck   bool          // Runs make no progress.
+	slower  int           // Factor by which work takes longer; 0 and 1 for a healthy worker.
+	late    int           // Number of next commands that get no answer and take effect late.
+	lateBy  time.Duration // Delay of these commands.
+	refuse  bool          // It refuses starts.
+	belated bool          // It is carrying out a delayed command.
+	heard   bool          // It has taken a command without delay.
+	// lateLooks is the number of next polls that get no answer and take effect late, and lateLookBy their delay.
 	lateLooks  int
 	lateLookBy time.Duration
-	mute       int // So many orders are carried out at once and get no answer.
+	mute       int // Number of next commands and polls without an answer; the commands take effect.
 }
 
-// activity is a run on a worker.
+// activity is a run of a task on a worker.
 type activity struct {
 	task    job.Task
 	number  int
 	each    job.Resources
 	work    time.Duration
-	gang    int // Members that must be present; 0 for a single task.
+	gang    int // Number of members that must be present; 0 for a single task.
 	began   time.Time
 	done    time.Duration
 	saved   string
 	saves   bool
-	stopped time.Time // When it has stopped; zero for one that was not asked to.
-	spoiled bool      // It began where everything fails that starts.
+	stopped time.Time // Time at which a stop takes effect; zero if none was requested.
+	spoiled bool      // It began while all new runs failed.
 }
 
-// isStopping reports whether it was asked to stop.
+// isStopping reports whether a stop was requested.
 func (a *activity) isStopping() bool { return !a.stopped.IsZero() }
 
-// share is how much of the work is done, in whole percent as the real workers tell it.
+// share returns the share of the work that is done, rounded down to whole percent as real workers report it.
 func (a *activity) share() float64 {
 	if a.work <= 0 {
 		return 0
@@ -78,25 +78,25 @@
 	return math.Floor(100*float64(a.done)/float64(a.work)) / 100
 }
 
-// lateBy is how late a delayed order is carried out where nothing else is said.
+// lateBy is the default delay of a delayed command.
 const lateBy = 2 * time.Second
 
-// endsMost is how many ends a report lists at most, as real workers do.
+// endsMost is the most ends in a report, as with real workers.
 const endsMost = 500
 
 const (
-	// tick is how often a worker looks at its runs.
+	// tick is the interval at which a worker checks its runs.
 	tick = 10 * time.Millisecond
-	// idleTick is how often one without runs looks whether it still lives.
+	// idleTick is the interval at which a worker without runs checks whether it is still alive.
 	idleTick = time.Second
 )
 
-// clock is the time that the worker's clock shows.
+// clock returns the time on the worker's clock in ms since its start, from 1 on.
 func (w *worker) clock() int64 {
 	return time.Duration(float64(time.Since(w.born))*(1-w.drift)).Milliseconds() + 1
 }
 
-// within is how long the worker's clock takes to show that a time has passed.
+// within returns the real time in which the worker's slow clock advances by d.
 func (w *worker) within(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / (1 - w.drift))
 }
@@ -112,7 +112,7 @@
 	w.changed = make(chan struct{})
 }
 
-// run ends leases, finishes work and breaks gangs until its life or ctx ends.
+// run ends expired runs, finishes work and ends broken gangs until the worker's incarnation or ctx ends.
 func (w *worker) run(ctx context.Context) {
 	for interval.Sleep(ctx, tick) && w.turn() {
 		if w.idle() {
@@ -127,7 +127,7 @@
 	return len(w.runs) == 0
 }
 
-// turn carries a worker one tick on and reports whether it lives.
+// turn advances a worker's runs by one interval and reports whether the worker is alive.
 func (w *worker) turn() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -200,7 +200,8 @@
 	}
 }
 
-// admit takes a call in: it fences, and tells whether the worker answers.
+// admit checks whether the worker accepts a command: it returns fleet.Fenced if the command comes from a replaced
+// box, and fleet.ErrNoAnswer if the worker doesn't answer.
 func (w *worker) admit(token int64) error {
 	if w.dead || w.cut {
 		return fleet.ErrNoAnswer
