--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -37,20 +37,20 @@
 func (f *Fleet) Poison(t job.Task, after time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crashes[t] = after
+	f.crashAfter[t] = after
 }
 
 // CrashHall crashes every worker of a hall in the way that SetCrash has set.
 func (f *Fleet) CrashHall(hall string) {
 	f.mu.Lock()
-	var lost []*worker
+	var affected []*worker
 	for _, w := range f.workers {
 		if w.record.Hall == hall {
-			lost = append(lost, w)
+			affected = append(affected, w)
 		}
 	}
 	f.mu.Unlock()
-	for _, w := range lost {
+	for _, w := range affected {
 		w.mu.Lock()
 		w.crash()
 		w.mu.Unlock()
@@ -79,42 +79,42 @@
 func (f *Fleet) WhereRuns(t job.Task) (id, hall string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, runs := f.judge.running[t]
-	if !runs {
+	incarnation, running := f.checker.running[t]
+	if !running {
 		return "", ""
 	}
-	return at.Worker, f.workers[at.Worker].record.Hall
+	return incarnation.Worker, f.workers[incarnation.Worker].record.Hall
 }
 
-// die ends this incarnation with all its runs; over says whether its process has ended too, so that its address
-// refuses connections. The caller holds the worker's lock.
-func (w *worker) die(over bool) {
-	w.dead, w.over = true, over
-	w.fleet.disturb()
-	if left := over && w.fleet.isDraining(w.record.ID); !left && !w.leaseKept {
-		w.fleet.leased(w, time.Time{})
+// terminate ends this incarnation with all its runs; processEnded says whether its process has ended too, so that its
+// address refuses connections. The caller holds the worker's lock.
+func (w *worker) terminate(processEnded bool) {
+	w.dead, w.processEnded = true, processEnded
+	w.fleet.recordDisturbance()
+	if drained := processEnded && w.fleet.isDraining(w.record.ID); !drained && !w.leaseKept {
+		w.fleet.recordLease(w, time.Time{})
 	}
-	w.leftAsSaid = over && w.fleet.hasStayed(w.record.ID)
-	for _, a := range w.sorted() {
+	w.leftAsAnnounced = processEnded && w.fleet.hasReachedDeparture(w.record.ID)
+	for _, a := range w.sortedRuns() {
 		delete(w.runs, a.task)
-		w.fleet.noteLost(a.task, a.number)
-		w.fleet.ended(w, a, job.Lapsed)
+		w.fleet.recordLostRun(a.task, a.number)
+		w.fleet.recordEnd(w, a, job.Lapsed)
 	}
-	for i := range w.ended {
-		if e := &w.ended[i]; e.Number > w.told { // No box has received this end.
-			w.fleet.noteLost(e.Task, e.Run)
+	for i := range w.pendingEnds {
+		if e := &w.pendingEnds[i]; e.Number > w.lastReportedEnd { // No box has received this end.
+			w.fleet.recordLostRun(e.Task, e.Run)
 		}
 	}
-	if over {
+	if processEnded {
 		w.notify()
 	}
 }
 
-// hasStayed reports whether the time has passed for which a departing worker stays.
-func (f *Fleet) hasStayed(id string) bool {
+// hasReachedDeparture reports whether the time has passed for which a departing worker stays.
+func (f *Fleet) hasReachedDeparture(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.isDue(id)
+	return f.isDepartureDue(id)
 }
 
 // crash ends this incarnation and schedules the restart that SetCrash has set. The caller holds the worker's lock.
@@ -126,32 +126,32 @@
 	f.mu.Lock()
 	c := f.crash
 	f.mu.Unlock()
-	w.die(!c.Dark)
+	w.terminate(!c.Dark)
 	go func() {
 		if interval.Sleep(f.ctx, c.Recorded) {
-			f.forgetLife(w.life)
+			f.forgetIncarnation(w.incarnation)
 		}
 	}()
 	if c.Gone {
 		return
 	}
 	go func() {
-		back := c.Back
+		delay := c.Back
 		if c.Again {
-			back = max(back, restartTime)
+			delay = max(delay, minRestartTime)
 		}
-		if interval.Sleep(f.ctx, back) {
-			f.comeBack(w, &c)
+		if interval.Sleep(f.ctx, delay) {
+			f.restartAfterCrash(w, &c)
 		}
 	}()
 }
 
-// comeBack starts the incarnation that follows a crash.
-func (f *Fleet) comeBack(w *worker, c *Crash) {
+// restartAfterCrash starts the incarnation that follows a crash.
+func (f *Fleet) restartAfterCrash(w *worker, c *Crash) {
 	f.mu.Lock()
-	f.lives++
+	f.restarts++
 	next := w.record
-	name := fmt.Sprintf("%s/%d", w.record.Address, f.lives)
+	name := fmt.Sprintf("%s/%d", w.record.Address, f.restarts)
 	if !c.Again {
 		next.ID = name
 	}
@@ -160,42 +160,42 @@
 	}
 	f.mu.Unlock()
 	if c.Again {
-		f.startAgain(w, next, c.Unlisted)
+		f.restart(w, next, c.Unlisted)
 		return
 	}
 	if !c.Elsewhere {
 		w.mu.Lock()
 		w.replaced = true
 		// The new incarnation answers commands for the old one with an error, which shows that its runs have ended.
-		f.leased(w, time.Time{})
+		f.recordLease(w, time.Time{})
 		w.notify()
 		w.mu.Unlock()
 	}
 	f.Add(next)
 }
 
-// startAgain starts the next incarnation of a worker under the same name, unless one has already started. Boxes learn
+// restart starts the next incarnation of a worker under the same name, unless one has already started. Boxes learn
 // of it from its record, or from its answers before it writes one.
-func (f *Fleet) startAgain(w *worker, next fleet.Worker, unlisted time.Duration) {
+func (f *Fleet) restart(w *worker, next fleet.Worker, firstRecordAfter time.Duration) {
 	f.mu.Lock()
 	if f.workers[next.ID] != w {
 		f.mu.Unlock()
 		return
 	}
-	f.former[next.ID] = f.records[next.ID].worker
-	delete(f.dueAt, next.ID)
-	delete(f.unsaid, next.ID)
+	f.previousRecords[next.ID] = f.records[next.ID].worker
+	delete(f.departsAt, next.ID)
+	delete(f.unannounced, next.ID)
 	f.mu.Unlock()
 	w.mu.Lock()
-	f.leased(w, time.Time{}) // The next incarnation shows that this one has ended.
+	f.recordLease(w, time.Time{}) // The next incarnation shows that this one has ended.
 	w.mu.Unlock()
 	next.Draining, next.Leaves = false, 0
-	f.disturb()
-	f.begin(next, unlisted)
+	f.recordDisturbance()
+	f.startIncarnation(next, firstRecordAfter)
 }
 
-// restartTime is the least time that a process takes to restart.
-const restartTime = 300 * time.Millisecond
+// minRestartTime is the least time that a process takes to restart.
+const minRestartTime = 300 * time.Millisecond
 
 // Restart starts the next incarnation of a worker under the same name as soon as a process can restart. It ends the
 // present one first if that is still alive.
@@ -208,12 +208,12 @@
 	}
 	w.mu.Lock()
 	if !w.dead {
-		w.die(true)
+		w.terminate(true)
 	}
 	w.mu.Unlock()
 	go func() {
-		if interval.Sleep(f.ctx, restartTime) {
-			f.startAgain(w, w.record, 0)
+		if interval.Sleep(f.ctx, minRestartTime) {
+			f.restart(w, w.record, 0)
 		}
 	}()
 	return nil
@@ -224,54 +224,54 @@
 func (f *Fleet) RecordFormer(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.disturbed = time.Now()
-	if former, ok := f.former[id]; ok {
-		f.put(former, false)
+	f.checker.disturbedAt = time.Now()
+	if previous, ok := f.previousRecords[id]; ok {
+		f.put(previous, false)
 	}
 }
 
-// forgetLife removes a worker's record if it still belongs to this incarnation.
-func (f *Fleet) forgetLife(l life.ID) {
+// forgetIncarnation removes a worker's record if it still belongs to this incarnation.
+func (f *Fleet) forgetIncarnation(incarnation life.ID) {
 	f.mu.Lock()
-	w, recorded := f.workers[l.Worker], f.records[l.Worker].worker
+	w, recorded := f.workers[incarnation.Worker], f.records[incarnation.Worker].worker
 	f.mu.Unlock()
-	if w == nil || w.life == l || recorded.Born == l.Born {
-		f.Forget(l.Worker)
+	if w == nil || w.incarnation == incarnation || recorded.Born == incarnation.Born {
+		f.Forget(incarnation.Worker)
 	}
 }
 
-// crashesNow reports whether a run crashes its worker now: its progress, earlier runs included, or its age has
+// shouldCrash reports whether a run crashes its worker now: its progress, earlier runs included, or its age has
 // reached the limit of Poison.
-func (f *Fleet) crashesNow(a *activity) bool {
+func (f *Fleet) shouldCrash(a *taskRun) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	after, crashes := f.crashes[a.task]
-	return crashes && (a.done >= after || time.Since(a.began) >= after)
+	after, crashes := f.crashAfter[a.task]
+	return crashes && (a.progress >= after || time.Since(a.startedAt) >= after)
 }
 
 const (
-	// crashesAllowed is the number of workers that may crash under a task before its further starts count (the users'
+	// maxCrashes is the number of workers that may crash under a task before its further starts count (the users'
 	// rules).
-	crashesAllowed = 3
-	// startsAfter is the number of further starts that breaks the promise.
-	startsAfter = 3
+	maxCrashes = 3
+	// violatingStarts is the number of further starts that breaks the promise.
+	violatingStarts = 3
 )
 
-// crashed records that a worker has crashed under a task. The caller holds the worker's lock.
-func (f *Fleet) crashed(t job.Task) {
+// recordCrash records that a worker has crashed under a task. The caller holds the worker's lock.
+func (f *Fleet) recordCrash(t job.Task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.crashed[t]++
+	f.checker.crashedWorkers[t]++
 }
 
-// judgeBudget finds tasks that are still started after too many workers have crashed under them. The caller holds the
-// lock.
-func (f *Fleet) judgeBudget(w *worker, a *activity) {
-	if f.judge.crashed[a.task] < crashesAllowed || w.belated {
+// checkCrashBudget finds tasks that are still started after too many workers have crashed under them. The caller
+// holds the lock.
+func (f *Fleet) checkCrashBudget(w *worker, a *taskRun) {
+	if f.checker.crashedWorkers[a.task] < maxCrashes || w.runsDelayedCommand {
 		return
 	}
-	f.judge.restarted[a.task]++
-	if n := f.judge.restarted[a.task]; n == startsAfter {
-		f.judge.counts.Budget = append(f.judge.counts.Budget, fmt.Sprintf("%s on %s, run %d: %d starts after %d workers had crashed", a.task, w.life, a.number, n, crashesAllowed))
+	f.checker.startsAfterCrashes[a.task]++
+	if n := f.checker.startsAfterCrashes[a.task]; n == violatingStarts {
+		f.checker.verdict.Budget = append(f.checker.verdict.Budget, fmt.Sprintf("%s on %s, run %d: %d starts after %d workers had crashed", a.task, w.incarnation, a.number, n, maxCrashes))
 	}
 }
--- a/internal/emulator/ends.go
+++ b/internal/emulator/ends.go
@@ -8,109 +8,112 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// ends records the ends of runs that workers have listed, and whether each counts as delivered to the scheduler. Make
-// it with newEnds.
-type ends struct { // End of the lease by worker incarnation; zero for one that crashed.
-	leases   map[life.ID]time.Time // By life of a worker: when its lease is over; zero for one that crashed.
-	done     map[job.Task][]*listedEnd
-	failed   map[job.Task][]*listedEnd
-	byLife   map[life.ID][]*listedEnd
-	attempts map[job.ID]int // Number of failed runs that end a job.
-	// impaired is the time until which boxes or the store have a fault; ailing says that the store has one now.
-	impaired time.Time
-	ailing   bool
-}
-
-func newEnds() ends {
-	return ends{
+// endRecords records the ends of runs that workers have listed, and whether each counts as delivered to the
+// scheduler. Make it with newEndRecords.
+type endRecords struct {
+	leases        map[life.ID]time.Time // End of the lease by worker incarnation; zero for one that crashed.
+	done          map[job.Task][]*listedEnd
+	failed        map[job.Task][]*listedEnd
+	byIncarnation map[life.ID][]*listedEnd
+	attempts      map[job.ID]int // Number of failed runs that end a job.
+	// impairedUntil is the time until which boxes or the store have a fault; storeFaulty says that the store has one
+	// now.
+	impairedUntil time.Time
+	storeFaulty   bool
+}
+
+func newEndRecords() endRecords {
+	return endRecords{
 		leases: map[life.ID]time.Time{}, done: map[job.Task][]*listedEnd{}, failed: map[job.Task][]*listedEnd{},
-		byLife: map[life.ID][]*listedEnd{}, attempts: map[job.ID]int{},
+		byIncarnation: map[life.ID][]*listedEnd{}, attempts: map[job.ID]int{},
 	}
 }
 
 // listedEnd is the end of a run as a worker has listed it.
 type listedEnd struct {
-	life   life.ID
-	number int64
-	run    int
-	at     time.Time
-	noted  bool // It was delivered while the worker's lease ran; never reset.
-	lapsed bool // The worker's lease expired before it was delivered; never reset.
+	incarnation life.ID
+	number      int64
+	run         int
+	at          time.Time
+	delivered   bool // It was delivered while the worker's lease ran; never reset.
+	expired     bool // The worker's lease expired before it was delivered; never reset.
 }
 
 const (
-	// notedAfter is the time after which a listed end counts as delivered if there is no fault (the users' rules).
-	notedAfter = 100 * time.Millisecond
-	// calmFor is the time without faults that is needed for this: as long as a machine must have been healthy to
+	// deliveredAfter is the time after which a listed end counts as delivered if there is no fault (the users'
+	// rules).
+	deliveredAfter = 100 * time.Millisecond
+	// stablePeriod is the time without faults that is needed for this: as long as a machine must have been healthy to
 	// count as in contact.
-	calmFor = 3 * time.Second
+	stablePeriod = 3 * time.Second
 )
 
-// counted returns how many of a task's ends the scheduler must know before it starts the task again: ends that were
-// delivered, and ends that may still be delivered because the worker's lease runs. A live worker lists an end until
-// then. A worker whose process has ended may look merely unreachable to a box, so the box must wait as long. After
-// that, nobody can learn of an end that no box received.
-func (e *ends) counted(list []*listedEnd) int {
+// countDeliverable returns how many of a task's ends the scheduler must know before it starts the task again: ends
+// that were delivered, and ends that may still be delivered because the worker's lease runs. A live worker lists an
+// end until then. A worker whose process has ended may look merely unreachable to a box, so the box must wait as
+// long. After that, nobody can learn of an end that no box received.
+func (e *endRecords) countDeliverable(list []*listedEnd) int {
 	n := 0
 	for _, x := range list {
-		if x.noted || !x.lapsed && time.Now().Before(e.leases[x.life]) {
+		if x.delivered || !x.expired && time.Now().Before(e.leases[x.incarnation]) {
 			n++
 		}
 	}
 	return n
 }
 
-// lapse records that a worker's lease expired. Ends not delivered by then never count as delivered (the users'
+// expire records that a worker's lease expired. Ends not delivered by then never count as delivered (the users'
 // rules), even if the lease is extended later: a box that was suspended for longer than a lease can't know of them.
-func (e *ends) lapse(l life.ID) {
-	for _, x := range e.byLife[l] {
-		x.lapsed = x.lapsed || !x.noted
+func (e *endRecords) expire(incarnation life.ID) {
+	for _, x := range e.byIncarnation[incarnation] {
+		x.expired = x.expired || !x.delivered
 	}
 }
 
-// calm reports whether boxes and the store have had no fault for calmFor before a time.
-func (e *ends) calm(since time.Time) bool {
-	return !e.ailing && since.Sub(e.impaired) > calmFor
+// isStableBefore reports whether boxes and the store have had no fault for stablePeriod before a time.
+func (e *endRecords) isStableBefore(t time.Time) bool {
+	return !e.storeFaulty && t.Sub(e.impairedUntil) > stablePeriod
 }
 
-// acknowledged records that a worker's ends up to a number were delivered, if its lease runs, and reports the event.
-func (f *Fleet) acknowledged(w *worker, upTo int64) {
+// recordAcknowledged records that a worker's ends up to a number were delivered, if its lease runs, and reports the
+// event.
+func (f *Fleet) recordAcknowledged(w *worker, upTo int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tell(Event{Kind: Acknowledged, Number: upTo})
-	for _, x := range f.judge.byLife[w.life] {
+	f.emit(Event{Kind: Acknowledged, Number: upTo})
+	for _, x := range f.checker.byIncarnation[w.incarnation] {
 		if x.number <= upTo {
-			f.judge.note(x)
+			f.checker.markDelivered(x)
 		}
 	}
 }
 
-// note marks an end as delivered if the worker's lease still runs.
-func (e *ends) note(x *listedEnd) {
-	x.noted = x.noted || !x.lapsed && time.Now().Before(e.leases[x.life])
+// markDelivered marks an end as delivered if the worker's lease still runs.
+func (e *endRecords) markDelivered(x *listedEnd) {
+	x.delivered = x.delivered || !x.expired && time.Now().Before(e.leases[x.incarnation])
 }
 
-// leased records the time until which a worker's lease runs.
-func (f *Fleet) leased(w *worker, until time.Time) {
+// recordLease records the time until which a worker's lease runs.
+func (f *Fleet) recordLease(w *worker, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if before := f.judge.leases[w.life]; !before.IsZero() && time.Now().After(before) {
-		f.judge.lapse(w.life)
+	if before := f.checker.leases[w.incarnation]; !before.IsZero() && time.Now().After(before) {
+		f.checker.expire(w.incarnation)
 	}
-	f.judge.leases[w.life] = until
-	f.tell(Event{Kind: Leased, Until: until})
+	f.checker.leases[w.incarnation] = until
+	f.emit(Event{Kind: Leased, Until: until})
 }
 
-// noteEnd records an end that decides about the task: a success or a failure. The success of one gang member counts
-// for all members. The caller holds both locks.
-func (f *Fleet) noteEnd(w *worker, a *activity, outcome job.Outcome) {
+// recordListedEnd records an end that decides about the task: a success or a failure. The success of one gang member
+// counts for all members. The caller holds both locks.
+func (f *Fleet) recordListedEnd(w *worker, a *taskRun, outcome job.Outcome) {
 	if outcome != job.Succeeded && outcome != job.FailedRun {
 		return
 	}
-	e, t := &f.judge.ends, a.task
-	x := &listedEnd{life: w.life, number: w.count, run: a.number, at: time.Now()}
-	e.byLife[x.life] = append(e.byLife[x.life], x)
-	time.AfterFunc(notedAfter, func() { f.noteInCalm(w, x) })
+	e, t := &f.checker.endRecords, a.task
+	x := &listedEnd{incarnation: w.incarnation, number: w.lastEndNumber, run: a.number, at: time.Now()}
+	e.byIncarnation[x.incarnation] = append(e.byIncarnation[x.incarnation], x)
+	time.AfterFunc(deliveredAfter, func() { f.markDeliveredIfStable(w, x) })
 	if outcome == job.FailedRun {
 		e.failed[t] = append(e.failed[t], x)
 		return
@@ -123,19 +126,19 @@
 	}
 }
 
-// noteInCalm marks an end as delivered if it was listed for notedAfter without any fault. If the process has ended
-// meanwhile, this holds only if a box received the end, or if the worker left at the time it had announced: boxes
-// knew that time.
-func (f *Fleet) noteInCalm(w *worker, x *listedEnd) {
+// markDeliveredIfStable marks an end as delivered if it was listed for deliveredAfter without any fault. If the
+// process has ended meanwhile, this holds only if a box received the end, or if the worker left at the time it had
+// announced: boxes knew that time.
+func (f *Fleet) markDeliveredIfStable(w *worker, x *listedEnd) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if x.at.Sub(w.disturbed) <= calmFor || w.disturbed.After(x.at) || w.hardToReach() || w.dead && w.told < x.number && !w.leftAsSaid {
+	if x.at.Sub(w.disturbedAt) <= stablePeriod || w.disturbedAt.After(x.at) || w.isHardToReach() || w.dead && w.lastReportedEnd < x.number && !w.leftAsAnnounced {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.judge.calm(x.at) {
-		f.judge.note(x)
+	if f.checker.isStableBefore(x.at) {
+		f.checker.markDelivered(x)
 	}
 }
 
@@ -143,37 +146,37 @@
 func (f *Fleet) Impair(until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if until.After(f.judge.impaired) {
-		f.judge.impaired = until
+	if until.After(f.checker.impairedUntil) {
+		f.checker.impairedUntil = until
 	}
 }
 
 // Ail records that the store has a fault, or that the fault has ended.
-func (f *Fleet) Ail(ailing bool) {
+func (f *Fleet) Ail(faulty bool) {
 	f.Impair(time.Now())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.ailing = ailing
+	f.checker.storeFaulty = faulty
 }
 
 // Allow sets the number of failed runs of a task after which its job ends.
 func (f *Fleet) Allow(id job.ID, attempts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.attempts[id] = attempts
+	f.checker.attempts[id] = attempts
 }
 
 // UsedUp reports whether a task of a job, or a gang as a whole, has failed often enough to end the job.
 func (f *Fleet) UsedUp(id job.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.usedUp(id)
+	return f.attemptsExhausted(id)
 }
 
-// usedUp is UsedUp for a caller that holds the lock.
-func (f *Fleet) usedUp(id job.ID) bool {
+// attemptsExhausted is UsedUp for a caller that holds the lock.
+func (f *Fleet) attemptsExhausted(id job.ID) bool {
 	runs := map[job.Task]map[int]bool{}
-	for t, list := range f.judge.failed {
+	for t, list := range f.checker.failed {
 		if t.Job != id {
 			continue
 		}
@@ -186,20 +189,20 @@
 		for _, x := range list {
 			runs[t][x.run] = true
 		}
-		if len(runs[t]) >= f.judge.attempts[id] {
+		if len(runs[t]) >= f.checker.attempts[id] {
 			return true
 		}
 	}
 	return false
 }
 
-// judgeAttempts finds starts of a task whose attempts have all failed. The caller holds the lock.
-func (f *Fleet) judgeAttempts(w *worker, a *activity) {
-	allowed, r := f.judge.attempts[a.task.Job], f.jobs[a.task.Job]
+// checkAttempts finds starts of a task whose attempts have all failed. The caller holds the lock.
+func (f *Fleet) checkAttempts(w *worker, a *taskRun) {
+	allowed, r := f.checker.attempts[a.task.Job], f.jobs[a.task.Job]
 	if allowed == 0 || r == nil || r.Steps[a.task.Step].Lasting {
 		return
 	}
-	if n := f.judge.counted(f.judge.failed[a.task]); n >= allowed {
-		f.judge.counts.Budget = append(f.judge.counts.Budget, fmt.Sprintf("%s on %s, run %d: started after %d of %d attempts had failed", a.task, w.record.ID, a.number, n, allowed))
+	if n := f.checker.countDeliverable(f.checker.failed[a.task]); n >= allowed {
+		f.checker.verdict.Budget = append(f.checker.verdict.Budget, fmt.Sprintf("%s on %s, run %d: started after %d of %d attempts had failed", a.task, w.record.ID, a.number, n, allowed))
 	}
 }
--- a/internal/emulator/event.go
+++ b/internal/emulator/event.go
@@ -33,16 +33,16 @@
 func (f *Fleet) Tell(e Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.gangOf(&activity{task: e.Task, number: e.Run, gang: e.Gang})
+	g := f.gangOf(&taskRun{task: e.Task, number: e.Run, gang: e.Gang})
 	if e.Kind == Began {
 		g.present[e.Task.Index] = true
 		return
 	}
-	g.end(e.Outcome)
+	g.recordEnd(e.Outcome)
 }
 
-// tell passes an event to the observer, if there is one. It is called with locks held.
-func (f *Fleet) tell(e Event) {
+// emit passes an event to the observer, if there is one. It is called with locks held.
+func (f *Fleet) emit(e Event) {
 	if f.Observe == nil {
 		return
 	}
@@ -62,13 +62,13 @@
 	return now
 }
 
-// lapse ends all runs of a worker whose lease has expired. A worker whose process was suspended calls it before it
-// takes a command.
-func (w *worker) lapse() {
+// endExpiredRuns ends all runs of a worker whose lease has expired. A worker whose process was suspended calls it
+// before it takes a command.
+func (w *worker) endExpiredRuns() {
 	if w.dead || len(w.runs) == 0 || !time.Now().After(w.lease) {
 		return
 	}
-	for _, a := range w.sorted() {
+	for _, a := range w.sortedRuns() {
 		w.end(a, job.Lapsed)
 	}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -24,28 +24,28 @@
 	// added.
 	Observe func(e Event)
 
-	mu      sync.Mutex
-	ctx     context.Context
-	workers map[string]*worker
-	records map[string]record
-	version int64
-	changed chan struct{}
-	gangs   map[gangRun]*gang
-	jobs    map[job.ID]*job.Request
-	work    map[job.ID]time.Duration
-	judge   judge
-	reads   int // Answers to reads of the worker records.
-	crashes map[job.Task]time.Duration
-	crash   Crash
-	lives   int // Restarts after a crash; makes names unique.
-	lasts   map[job.ID]LastMoments
+	mu         sync.Mutex
+	ctx        context.Context
+	workers    map[string]*worker
+	records    map[string]record
+	version    int64
+	changed    chan struct{}
+	gangs      map[gangRun]*gang
+	jobs       map[job.ID]*job.Request
+	work       map[job.ID]time.Duration
+	checker    checker
+	reads      int // Answers to reads of the worker records.
+	crashAfter map[job.Task]time.Duration
+	crash      Crash
+	restarts   int // Restarts after a crash; makes names unique.
+	exits      map[job.ID]LastMoments
 	// By departing worker, announced or not: the time until which it surely stays.
-	dueAt  map[string]time.Time
-	unsaid map[string]bool         // Workers that leave without an announcement.
-	former map[string]fleet.Worker // By worker: the last record of its previous incarnation.
-	untold bool                    // Workers don't report when they started.
-	stops  time.Duration           // Time that a stop takes.
-	drift  float64                 // Share by which the clocks of newly added workers run slow.
+	departsAt       map[string]time.Time
+	unannounced     map[string]bool         // Workers that leave without an announcement.
+	previousRecords map[string]fleet.Worker // By worker: the last record of its previous incarnation.
+	hideStartTime   bool                    // Workers don't report when they started.
+	stopDuration    time.Duration           // Time that a stop takes.
+	drift           float64                 // Share by which the clocks of newly added workers run slow.
 }
 
 // record is a worker's record with the version at which it was last written.
@@ -65,7 +65,7 @@
 type gang struct {
 	size    int
 	present map[int]bool
-	over    bool
+	broken  bool
 	done    bool
 }
 
@@ -74,7 +74,7 @@
 const (
 	gangRunning gangState = iota
 	gangIncomplete
-	gangOver
+	gangBroken
 	gangDone
 )
 
@@ -83,47 +83,48 @@
 	return &Fleet{
 		MaxLease: maxLease, GangWait: gangWait, ctx: ctx, workers: map[string]*worker{}, records: map[string]record{},
 		changed: make(chan struct{}), gangs: map[gangRun]*gang{}, jobs: map[job.ID]*job.Request{},
-		work: map[job.ID]time.Duration{}, judge: newJudge(), crashes: map[job.Task]time.Duration{}, lasts: map[job.ID]LastMoments{}, dueAt: map[string]time.Time{}, unsaid: map[string]bool{}, former: map[string]fleet.Worker{},
+		work: map[job.ID]time.Duration{}, checker: newChecker(), crashAfter: map[job.Task]time.Duration{}, exits: map[job.ID]LastMoments{}, departsAt: map[string]time.Time{}, unannounced: map[string]bool{}, previousRecords: map[string]fleet.Worker{},
 	}
 }
 
 // Add starts a worker and returns its first record.
 func (f *Fleet) Add(w fleet.Worker) fleet.Worker {
-	return f.begin(w, 0)
+	return f.startIncarnation(w, 0)
 }
 
-// begin starts an incarnation of a worker and returns its first record, which it writes after the time unlisted.
-func (f *Fleet) begin(record fleet.Worker, unlisted time.Duration) fleet.Worker {
+// startIncarnation starts an incarnation of a worker and returns its first record, which it writes after the time
+// firstRecordAfter.
+func (f *Fleet) startIncarnation(record fleet.Worker, firstRecordAfter time.Duration) fleet.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := &worker{
-		fleet: f, record: record, born: time.Now(), drift: f.drift, runs: map[job.Task]*activity{}, rejected: map[job.Task]int{},
-		changed: make(chan struct{}), begun: make(chan struct{}, 1),
+		fleet: f, record: record, born: time.Now(), drift: f.drift, runs: map[job.Task]*taskRun{}, rejected: map[job.Task]int{},
+		changed: make(chan struct{}), runBegan: make(chan struct{}, 1),
 	}
-	w.life = life.ID{Worker: record.ID, Born: w.born.UnixMilli()}
+	w.incarnation = life.ID{Worker: record.ID, Born: w.born.UnixMilli()}
 	if before := f.workers[record.ID]; before != nil {
-		w.life.Born = max(w.life.Born, before.life.Born+1)
-		w.disturbed = w.born
+		w.incarnation.Born = max(w.incarnation.Born, before.incarnation.Born+1)
+		w.disturbedAt = w.born
 	}
-	if !f.untold {
-		w.record.Born = w.life.Born
+	if !f.hideStartTime {
+		w.record.Born = w.incarnation.Born
 	}
 	f.workers[record.ID] = w
 	go w.run(f.ctx)
-	if unlisted == 0 {
+	if firstRecordAfter == 0 {
 		f.put(w.record, false)
 		return w.record
 	}
-	w.listedAt = w.born.Add(unlisted)
-	time.AfterFunc(unlisted, func() { f.Record(record.ID) })
+	w.listedAt = w.born.Add(firstRecordAfter)
+	time.AfterFunc(firstRecordAfter, func() { f.Record(record.ID) })
 	return w.record
 }
 
 // SetUntold sets whether workers that start from now on leave out their start time.
-func (f *Fleet) SetUntold(untold bool) {
+func (f *Fleet) SetUntold(hide bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.untold = untold
+	f.hideStartTime = hide
 }
 
 func (f *Fleet) put(w fleet.Worker, gone bool) {
@@ -140,41 +141,41 @@
 	f.drift = share
 }
 
-// Expect sets how long a job's tasks really run.
+// Expect sets the request of a job and how long its tasks really run.
 func (f *Fleet) Expect(r *job.Request, work time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[r.ID], f.work[r.ID] = r, work
 }
 
-// change applies a fault or a recovery to a worker.
-func (f *Fleet) change(id string, do func(w *worker)) error {
+// update applies a fault or a recovery to a worker.
+func (f *Fleet) update(id string, apply func(w *worker)) error {
 	f.mu.Lock()
 	w := f.workers[id]
-	f.judge.disturbed = time.Now()
+	f.checker.disturbedAt = time.Now()
 	f.mu.Unlock()
 	if w == nil {
 		return fmt.Errorf("emulator: no worker %q", id)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	do(w)
-	w.disturbed = time.Now()
+	apply(w)
+	w.disturbedAt = time.Now()
 	return nil
 }
 
 // Crash ends a worker's incarnation with all its runs; it answers nobody any more. Its record stays until Forget.
-func (f *Fleet) Crash(id string) error { return f.change(id, func(w *worker) { w.die(false) }) }
+func (f *Fleet) Crash(id string) error { return f.update(id, func(w *worker) { w.terminate(false) }) }
 
 // End ends a worker's process: its connections are closed and its address refuses new ones. Its record stays until
 // Forget.
-func (f *Fleet) End(id string) error { return f.change(id, func(w *worker) { w.die(true) }) }
+func (f *Fleet) End(id string) error { return f.update(id, func(w *worker) { w.terminate(true) }) }
 
 // Forget removes a worker's record.
 func (f *Fleet) Forget(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.disturbed = time.Now()
+	f.checker.disturbedAt = time.Now()
 	f.put(f.records[id].worker, true)
 }
 
@@ -188,7 +189,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.unsaid[id] || time.Now().Before(w.listedAt) {
+	if f.unannounced[id] || time.Now().Before(w.listedAt) {
 		return
 	}
 	if f.records[id].worker.Born != w.record.Born {
@@ -196,10 +197,10 @@
 		return
 	}
 	if f.records[id].gone {
-		f.judge.disturbed = time.Now()
+		f.checker.disturbedAt = time.Now()
 	}
 	record := f.records[id].worker
-	if due, said := f.dueAt[id]; said && record.Draining {
+	if due, departing := f.departsAt[id]; departing && record.Draining {
 		record.Leaves = max(time.Until(due), 0)
 	}
 	f.put(record, false)
@@ -239,14 +240,14 @@
 	return f.reads
 }
 
-// Drain marks a worker's record as draining; the worker stays for the time leaves.
-func (f *Fleet) Drain(id string, leaves time.Duration) {
+// Drain marks a worker's record as draining; the worker stays for the time timeLeft.
+func (f *Fleet) Drain(id string, timeLeft time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.records[id].worker
-	w.Draining, w.Leaves = true, leaves
-	f.judge.disturbed = time.Now()
-	f.dueAt[id] = time.Now().Add(leaves)
+	w.Draining, w.Leaves = true, timeLeft
+	f.checker.disturbedAt = time.Now()
+	f.departsAt[id] = time.Now().Add(timeLeft)
 	f.put(w, false)
 }
 
@@ -256,8 +257,8 @@
 	f.Forget(id)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dueAt[id] = time.Now().Add(stays)
-	f.unsaid[id] = true
+	f.departsAt[id] = time.Now().Add(stays)
+	f.unannounced[id] = true
 }
 
 // isDraining reports whether a worker's last record says that it drains.
@@ -269,39 +270,41 @@
 
 // Fail makes all runs on a worker fail, earlier ones included, or ends this fault.
 func (f *Fleet) Fail(id string, fail bool) error {
-	return f.change(id, func(w *worker) { w.fails = fail })
+	return f.update(id, func(w *worker) { w.failsRuns = fail })
 }
 
 // Spoil makes runs that start on a worker from now on fail, or ends this fault.
 func (f *Fleet) Spoil(id string, spoil bool) error {
-	return f.change(id, func(w *worker) { w.spoils = spoil })
+	return f.update(id, func(w *worker) { w.failsNewRuns = spoil })
 }
 
 // Stick stops the progress of the work on a worker, or lets it continue.
 func (f *Fleet) Stick(id string, stuck bool) error {
-	return f.change(id, func(w *worker) { w.stuck = stuck })
+	return f.update(id, func(w *worker) { w.stalled = stuck })
 }
 
 // Slow makes all work on a worker take n times as long.
-func (f *Fleet) Slow(id string, n int) error { return f.change(id, func(w *worker) { w.slower = n }) }
+func (f *Fleet) Slow(id string, n int) error { return f.update(id, func(w *worker) { w.slowdown = n }) }
 
 // Late makes the next n commands to a worker get no answer and take effect after a default delay.
-func (f *Fleet) Late(id string, n int) error { return f.LateBy(id, n, lateBy) }
+func (f *Fleet) Late(id string, n int) error { return f.LateBy(id, n, defaultCommandDelay) }
 
 // LateBy makes the next n commands to a worker get no answer and take effect after a delay.
 func (f *Fleet) LateBy(id string, n int, by time.Duration) error {
-	return f.change(id, func(w *worker) { w.late, w.lateBy = n, by })
+	return f.update(id, func(w *worker) { w.delayedCommands, w.commandDelay = n, by })
 }
 
 // LateLooks makes the next n polls of a worker get no answer and take effect after a delay.
 func (f *Fleet) LateLooks(id string, n int, by time.Duration) error {
-	return f.change(id, func(w *worker) { w.lateLooks, w.lateLookBy = n, by })
+	return f.update(id, func(w *worker) { w.delayedPolls, w.pollDelay = n, by })
 }
 
 // Mute makes the next n commands and polls of a worker get no answer; the commands take effect.
-func (f *Fleet) Mute(id string, n int) error { return f.change(id, func(w *worker) { w.mute = n }) }
+func (f *Fleet) Mute(id string, n int) error {
+	return f.update(id, func(w *worker) { w.droppedAnswers = n })
+}
 
 // Refuse makes a worker refuse starts, or accept them again.
 func (f *Fleet) Refuse(id string, refuse bool) error {
-	return f.change(id, func(w *worker) { w.refuse = refuse })
+	return f.update(id, func(w *worker) { w.refusesStarts = refuse })
 }
--- a/internal/emulator/gate.go
+++ b/internal/emulator/gate.go
@@ -1,5 +1,5 @@
-// Package emulator replaces the platform in tests: a store of rows, workers and their records, with the faults of the
-// real ones. Everything is in memory and runs on the clock of the runtime, so that tests can pause and advance it.
+// Package emulator emulates the platform: a store of rows, workers and their records, with the faults of the real
+// ones. Everything is in memory and runs on the clock of the runtime, so that tests can pause and advance it.
 package emulator
 
 import (
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -9,27 +9,27 @@
 	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// judge records what the workers were told to do and finds violations of the scheduler's promises.
-type judge struct {
+// checker records what the workers were told to do and finds violations of the scheduler's promises.
+type checker struct {
 	running map[job.Task]life.ID // The worker incarnation that runs a task now.
-	ends
-	waits
-	emptied map[string]time.Time // By hall: the time at which it was emptied.
-	crashed map[job.Task]int     // Number of workers that crashed under a poisoned task.
+	endRecords
+	waitChecks
+	emptiedAt      map[string]time.Time // By hall: the time at which it was emptied.
+	crashedWorkers map[job.Task]int     // Number of workers that crashed under a poisoned task.
 	// Number of lost runs of a task after which its job may fail as crash-looping; 0 for never.
-	givenUpAfter int
+	crashLoopLimit int
 	// Runs of a task lost with their worker's process, whatever ended it; includes runs whose start command came too
 	// late to reach it.
-	lostBy map[job.Task]map[int]bool
-	// restarted counts the starts of a task after too many workers had crashed under it.
-	restarted map[job.Task]int
-	counts    Verdict
+	lostRuns map[job.Task]map[int]bool
+	// startsAfterCrashes counts the starts of a task after too many workers had crashed under it.
+	startsAfterCrashes map[job.Task]int
+	verdict            Verdict
 }
 
 // Verdict lists violations of the scheduler's promises and counts starts, stops and ends.
 type Verdict struct {
 	Twice []string // Two runs of a task at a time, or a run after the task was done.
-	// Unheard lists starts like those in Twice that a worker carried out late, before its incarnation had taken any
+	// Unheard lists duplicate starts that a worker carried out late, before its incarnation had taken any
 	// other command. No box could know of that incarnation, nor make it refuse them.
 	Unheard  []string
 	Unasked  []string // Starts of tasks that nobody submitted, or with another payload.
@@ -45,11 +45,11 @@
 	Ends   map[job.Outcome]int
 }
 
-func newJudge() judge {
-	return judge{
-		running: map[job.Task]life.ID{}, ends: newEnds(), emptied: map[string]time.Time{},
-		crashed: map[job.Task]int{}, lostBy: map[job.Task]map[int]bool{}, restarted: map[job.Task]int{},
-		counts: Verdict{Ends: map[job.Outcome]int{}, InHall: map[string]int{}},
+func newChecker() checker {
+	return checker{
+		running: map[job.Task]life.ID{}, endRecords: newEndRecords(), emptiedAt: map[string]time.Time{},
+		crashedWorkers: map[job.Task]int{}, lostRuns: map[job.Task]map[int]bool{}, startsAfterCrashes: map[job.Task]int{},
+		verdict: Verdict{Ends: map[job.Outcome]int{}, InHall: map[string]int{}},
 	}
 }
 
@@ -57,7 +57,7 @@
 func (f *Fleet) Verdict() Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.judge.counts
+	return f.checker.verdict
 }
 
 // SetGivenUpAfter sets the number of worker crashes under one task, whatever caused them, after which its job may
@@ -65,7 +65,7 @@
 func (f *Fleet) SetGivenUpAfter(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.givenUpAfter = n
+	f.checker.crashLoopLimit = n
 }
 
 // MayBeGivenUp reports whether enough workers have crashed under a task of a job that the job may fail as
@@ -73,65 +73,65 @@
 func (f *Fleet) MayBeGivenUp(id job.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.mayBeGivenUp(id)
+	return f.crashLoopLimitReached(id)
 }
 
-// mayBeGivenUp is MayBeGivenUp for a caller that holds the lock.
-func (f *Fleet) mayBeGivenUp(id job.ID) bool {
-	for t, runs := range f.judge.lostBy {
-		if t.Job == id && f.judge.givenUpAfter > 0 && len(runs) >= f.judge.givenUpAfter {
+// crashLoopLimitReached is MayBeGivenUp for a caller that holds the lock.
+func (f *Fleet) crashLoopLimitReached(id job.ID) bool {
+	for t, runs := range f.checker.lostRuns {
+		if t.Job == id && f.checker.crashLoopLimit > 0 && len(runs) >= f.checker.crashLoopLimit {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *Fleet) noteLost(t job.Task, run int) {
+func (f *Fleet) recordLostRun(t job.Task, run int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.judge.lostBy[t] == nil {
-		f.judge.lostBy[t] = map[int]bool{}
+	if f.checker.lostRuns[t] == nil {
+		f.checker.lostRuns[t] = map[int]bool{}
 	}
-	f.judge.lostBy[t][run] = true
+	f.checker.lostRuns[t][run] = true
 }
 
 // Running returns the number of tasks that run now.
 func (f *Fleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.judge.running)
+	return len(f.checker.running)
 }
 
-func (f *Fleet) noteStop() {
+func (f *Fleet) countStop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.counts.Stops++
+	f.checker.verdict.Stops++
 }
 
-func (f *Fleet) noteFenced() {
+func (f *Fleet) countFenced() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.counts.Fenced++
+	f.checker.verdict.Fenced++
 }
 
-// activity returns the run for a start command, with the duration that Expect has set for the job.
-func (f *Fleet) activity(o *fleet.Start) *activity {
+// newTaskRun returns the run for a start command, with the work time of its job.
+func (f *Fleet) newTaskRun(o *fleet.Start) *taskRun {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	a := &activity{task: o.Task, number: o.Run, began: time.Now()}
+	a := &taskRun{task: o.Task, number: o.Run, startedAt: time.Now()}
 	r := f.jobs[o.Task.Job]
 	if r == nil || o.Payload != r.Payload {
-		f.judge.counts.Unasked = append(f.judge.counts.Unasked, o.Task.String())
+		f.checker.verdict.Unasked = append(f.checker.verdict.Unasked, o.Task.String())
 		return a
 	}
 	step := &r.Steps[o.Task.Step]
-	a.each, a.work, a.saves = step.Each, f.work[o.Task.Job], step.Checkpoints
+	a.resources, a.work, a.checkpoints = step.Each, f.work[o.Task.Job], step.Checkpoints
 	if step.Gang {
 		a.gang = step.Count
 	}
 	if o.Saved != "" {
 		a.saved = o.Saved
-		a.done = savedProgress(o.Saved)
+		a.progress = savedProgress(o.Saved)
 	}
 	return a
 }
@@ -149,49 +149,49 @@
 	return 0
 }
 
-func (a *activity) gangRun() gangRun {
+func (a *taskRun) gangRun() gangRun {
 	return gangRun{a.task.Job, job.Group{Occurrence: a.task.Occurrence, Step: a.task.Step}, a.number}
 }
 
-// started records a start and checks it.
-func (f *Fleet) started(w *worker, a *activity) {
+// recordStart records a start and checks it.
+func (f *Fleet) recordStart(w *worker, a *taskRun) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tell(Event{Kind: Began, Task: a.task, Run: a.number, Gang: a.gang})
-	c := &f.judge.counts
+	f.emit(Event{Kind: Began, Task: a.task, Run: a.number, Gang: a.gang})
+	c := &f.checker.verdict
 	c.Starts++
-	if twice := f.twice(w, a); len(twice) > 0 {
-		if w.belated && !w.heard {
-			c.Unheard = append(c.Unheard, twice...)
+	if duplicates := f.findDuplicates(w, a); len(duplicates) > 0 {
+		if w.runsDelayedCommand && !w.tookCommand {
+			c.Unheard = append(c.Unheard, duplicates...)
 			return
 		}
-		c.Twice = append(c.Twice, twice...)
+		c.Twice = append(c.Twice, duplicates...)
 	}
-	f.judgeOrder(a)
-	f.judgeHall(w, a)
-	f.judgeBudget(w, a)
-	f.judgeAttempts(w, a)
-	f.judge.running[a.task] = w.life
+	f.checkOrder(a)
+	f.checkHall(w, a)
+	f.checkCrashBudget(w, a)
+	f.checkAttempts(w, a)
+	f.checker.running[a.task] = w.incarnation
 	if a.gang == 0 {
 		return
 	}
 	f.gangOf(a).present[a.task.Index] = true
 }
 
-// twice describes each run of the same task that is still running, or its earlier success, when a run starts. The
-// caller holds the lock.
-func (f *Fleet) twice(w *worker, a *activity) (found []string) {
-	if at, runs := f.judge.running[a.task]; runs {
-		found = append(found, fmt.Sprintf("%s on %s and %s", a.task, at, w.life))
+// findDuplicates describes each run of the same task that is still running, or its earlier success, when a run
+// starts. The caller holds the lock.
+func (f *Fleet) findDuplicates(w *worker, a *taskRun) (found []string) {
+	if other, running := f.checker.running[a.task]; running {
+		found = append(found, fmt.Sprintf("%s on %s and %s", a.task, other, w.incarnation))
 	}
-	if f.judge.counted(f.judge.done[a.task]) > 0 {
-		found = append(found, fmt.Sprintf("%s on %s after it was done", a.task, w.life))
+	if f.checker.countDeliverable(f.checker.done[a.task]) > 0 {
+		found = append(found, fmt.Sprintf("%s on %s after it was done", a.task, w.incarnation))
 	}
 	return found
 }
 
 // gangOf returns the gang to which a run belongs. The caller holds the lock.
-func (f *Fleet) gangOf(a *activity) *gang {
+func (f *Fleet) gangOf(a *taskRun) *gang {
 	g := f.gangs[a.gangRun()]
 	if g == nil {
 		g = &gang{size: a.gang, present: map[int]bool{}}
@@ -200,32 +200,32 @@
 	return g
 }
 
-// end records how a member has ended.
-func (g *gang) end(outcome job.Outcome) {
-	g.over = g.over || outcome != job.Succeeded
+// recordEnd records how a member has ended.
+func (g *gang) recordEnd(outcome job.Outcome) {
+	g.broken = g.broken || outcome != job.Succeeded
 	g.done = g.done || outcome == job.Succeeded
 }
 
-func (f *Fleet) judgeOrder(a *activity) {
+func (f *Fleet) checkOrder(a *taskRun) {
 	r := f.jobs[a.task.Job]
 	if r == nil {
 		return
 	}
 	for _, s := range r.Steps[a.task.Step].After {
 		for i := range r.Steps[s].Count {
-			if len(f.judge.done[job.Task{Job: r.ID, Occurrence: a.task.Occurrence, Step: s, Index: i}]) == 0 {
-				f.judge.counts.TooEarly = append(f.judge.counts.TooEarly, a.task.String())
+			if len(f.checker.done[job.Task{Job: r.ID, Occurrence: a.task.Occurrence, Step: s, Index: i}]) == 0 {
+				f.checker.verdict.TooEarly = append(f.checker.verdict.TooEarly, a.task.String())
 				return
 			}
 		}
 	}
 }
 
-// judgeHall finds starts in emptied halls. Commands that the worker itself carried out late don't count.
-func (f *Fleet) judgeHall(w *worker, a *activity) {
-	c, hall := &f.judge.counts, w.record.Hall
+// checkHall finds starts in emptied halls. Commands that the worker itself carried out late don't count.
+func (f *Fleet) checkHall(w *worker, a *taskRun) {
+	c, hall := &f.checker.verdict, w.record.Hall
 	c.InHall[hall]++
-	if since, ok := f.judge.emptied[hall]; ok && !w.belated && time.Since(since) > f.EmptyWithin {
+	if since, ok := f.checker.emptiedAt[hall]; ok && !w.runsDelayedCommand && time.Since(since) > f.EmptyWithin {
 		c.Emptied = append(c.Emptied, fmt.Sprintf("%s on %s, %s after %s was emptied", a.task, w.record.ID, time.Since(since), hall))
 	}
 }
@@ -234,24 +234,24 @@
 func (f *Fleet) Empty(hall string, emptied bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.disturbed = time.Now()
+	f.checker.disturbedAt = time.Now()
 	if !emptied {
-		delete(f.judge.emptied, hall)
+		delete(f.checker.emptiedAt, hall)
 		return
 	}
-	f.judge.emptied[hall] = time.Now()
+	f.checker.emptiedAt[hall] = time.Now()
 }
 
-// ended records the end of a run.
-func (f *Fleet) ended(w *worker, a *activity, outcome job.Outcome) {
+// recordEnd records the end of a run.
+func (f *Fleet) recordEnd(w *worker, a *taskRun, outcome job.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tell(Event{Kind: Ended, At: w.endedAt(outcome), Task: a.task, Run: a.number, Outcome: outcome, Number: w.count, Gang: a.gang})
-	if f.judge.running[a.task] == w.life {
-		delete(f.judge.running, a.task)
+	f.emit(Event{Kind: Ended, At: w.endedAt(outcome), Task: a.task, Run: a.number, Outcome: outcome, Number: w.lastEndNumber, Gang: a.gang})
+	if f.checker.running[a.task] == w.incarnation {
+		delete(f.checker.running, a.task)
 	}
-	f.judge.counts.Ends[outcome]++
-	f.noteEnd(w, a, outcome)
+	f.checker.verdict.Ends[outcome]++
+	f.recordListedEnd(w, a, outcome)
 	if a.gang == 0 {
 		return
 	}
@@ -259,11 +259,11 @@
 	if g == nil {
 		return
 	}
-	g.end(outcome)
+	g.recordEnd(outcome)
 }
 
 // gangState returns the state of a run's gang; gangRunning for a single task.
-func (f *Fleet) gangState(a *activity) gangState {
+func (f *Fleet) gangState(a *taskRun) gangState {
 	if a.gang == 0 {
 		return gangRunning
 	}
@@ -275,8 +275,8 @@
 		return gangRunning
 	case g.done:
 		return gangDone
-	case g.over:
-		return gangOver
+	case g.broken:
+		return gangBroken
 	case len(g.present) < g.size:
 		return gangIncomplete
 	}
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -15,33 +15,33 @@
 
 // Store emulates the platform's store. Make it with NewStore.
 type Store struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	version int64
-	rows    map[store.Key]map[string]store.Row // By table and part, then by name.
-	history []store.Row                        // All changes, in order.
-	oldest  int64                              // Feeds that begin before this version are refused.
-	changed chan struct{}
-
-	latency  time.Duration
-	commits  time.Duration // Extra time that a transaction takes.
-	outage   outage
-	cut      map[string]outage // By box.
-	loseRate float64           // Share of writes that take effect but get no answer.
-	deaf     bool              // Feeds deliver no changes.
-	partsOut map[string]bool   // Parts whose calls get no answer and have no effect.
-
-	perRow time.Duration        // Time to transfer a row over a box's link.
-	links  map[string]time.Time // By box: the time at which its link becomes idle.
-	reads  map[string]int       // Answered reads, by table.
-	turns  map[string]time.Time // By part: the time at which its queue of transactions becomes empty.
+	mu            sync.Mutex
+	random        *rand.Rand
+	version       int64
+	rows          map[store.Key]map[string]store.Row // By table and part, then by name.
+	history       []store.Row                        // All changes, in order.
+	oldestVersion int64                              // Feeds that begin before this version are refused.
+	changed       chan struct{}
+
+	latency      time.Duration
+	commitDelay  time.Duration // Extra time that a transaction takes.
+	outage       outageMode
+	cut          map[string]outageMode // By box.
+	lossRate     float64               // Share of writes that take effect but get no answer.
+	feedsStalled bool                  // Feeds deliver no changes.
+	failedParts  map[string]bool       // Parts whose calls get no answer and have no effect.
+
+	rowTime      time.Duration        // Time to transfer a row over a box's link.
+	linkIdleAt   map[string]time.Time // By box: the time at which its link becomes idle.
+	reads        map[string]int       // Answered reads, by table.
+	queueEmptyAt map[string]time.Time // By part: the time at which its queue of transactions becomes empty.
 }
 
-// outage is the way in which the store fails.
-type outage int
+// outageMode is the way in which the store fails.
+type outageMode int
 
 const (
-	up outage = iota
+	available outageMode = iota
 	busy
 	silent
 )
@@ -53,43 +53,43 @@
 func NewStore(seed uint64) *Store {
 	return &Store{
 		random: rand.New(rand.NewPCG(seed, 1)), rows: map[store.Key]map[string]store.Row{}, changed: make(chan struct{}),
-		cut: map[string]outage{}, latency: storeLatency, turns: map[string]time.Time{}, links: map[string]time.Time{}, reads: map[string]int{},
+		cut: map[string]outageMode{}, latency: storeLatency, queueEmptyAt: map[string]time.Time{}, linkIdleAt: map[string]time.Time{}, reads: map[string]int{},
 	}
 }
 
 // SetBusy makes the store refuse every call.
-func (s *Store) SetBusy() { s.set(func() { s.outage = busy }) }
+func (s *Store) SetBusy() { s.update(func() { s.outage = busy }) }
 
 // SetSilent makes the store answer no call and carry out none.
-func (s *Store) SetSilent() { s.set(func() { s.outage = silent }) }
+func (s *Store) SetSilent() { s.update(func() { s.outage = silent }) }
 
 // SetUp ends outages, cuts, slowness, lost answers and stalled feeds.
 func (s *Store) SetUp() {
-	s.set(func() {
-		s.outage, s.latency, s.loseRate, s.cut, s.deaf = up, storeLatency, 0, map[string]outage{}, false
-		s.partsOut, s.commits = nil, 0
+	s.update(func() {
+		s.outage, s.latency, s.lossRate, s.cut, s.feedsStalled = available, storeLatency, 0, map[string]outageMode{}, false
+		s.failedParts, s.commitDelay = nil, 0
 	})
 }
 
 // SetSlow sets how long a call takes.
-func (s *Store) SetSlow(d time.Duration) { s.set(func() { s.latency = d }) }
+func (s *Store) SetSlow(d time.Duration) { s.update(func() { s.latency = d }) }
 
 // SetCommitsSlow sets the extra time that a transaction takes.
-func (s *Store) SetCommitsSlow(d time.Duration) { s.set(func() { s.commits = d }) }
+func (s *Store) SetCommitsSlow(d time.Duration) { s.update(func() { s.commitDelay = d }) }
 
 // SetThin sets the time to transfer a row over a box's link to the store. Answers arrive in the order in which the
 // store sent them.
-func (s *Store) SetThin(perRow time.Duration) { s.set(func() { s.perRow = perRow }) }
+func (s *Store) SetThin(perRow time.Duration) { s.update(func() { s.rowTime = perRow }) }
 
-// carry waits until a box's link has transferred an answer with a number of rows.
-func (s *Store) carry(ctx context.Context, box string, rows int) error {
+// transfer waits until a box's link has transferred an answer with a number of rows.
+func (s *Store) transfer(ctx context.Context, box string, rows int) error {
 	s.mu.Lock()
 	now := time.Now()
-	if s.links[box].Before(now) {
-		s.links[box] = now
+	if s.linkIdleAt[box].Before(now) {
+		s.linkIdleAt[box] = now
 	}
-	s.links[box] = s.links[box].Add(time.Duration(rows) * s.perRow)
-	wait := s.links[box].Sub(now)
+	s.linkIdleAt[box] = s.linkIdleAt[box].Add(time.Duration(rows) * s.rowTime)
+	wait := s.linkIdleAt[box].Sub(now)
 	s.mu.Unlock()
 	if wait > 0 && !interval.Sleep(ctx, wait) {
 		return store.ErrUnknown
@@ -98,36 +98,36 @@
 }
 
 // SetLose sets the share of writes that take effect but get no answer.
-func (s *Store) SetLose(share float64) { s.set(func() { s.loseRate = share }) }
+func (s *Store) SetLose(share float64) { s.update(func() { s.lossRate = share }) }
 
 // Cut makes the store answer no call of a box.
-func (s *Store) Cut(box string) { s.set(func() { s.cut[box] = silent }) }
+func (s *Store) Cut(box string) { s.update(func() { s.cut[box] = silent }) }
 
 // Refuse makes the store refuse one box's calls.
-func (s *Store) Refuse(box string) { s.set(func() { s.cut[box] = busy }) }
+func (s *Store) Refuse(box string) { s.update(func() { s.cut[box] = busy }) }
 
 // SetPartOut makes the calls of one part fail without an answer and without effect; feeds continue.
 func (s *Store) SetPartOut(part string) {
-	s.set(func() {
-		if s.partsOut == nil {
-			s.partsOut = map[string]bool{}
+	s.update(func() {
+		if s.failedParts == nil {
+			s.failedParts = map[string]bool{}
 		}
-		s.partsOut[part] = true
+		s.failedParts[part] = true
 	})
 }
 
-// partOut returns the error of a call to a failed part, as after a reset connection; nil if the part works.
-func (s *Store) partOut(part string) error {
+// partError returns the error of a call to a failed part, as after a reset connection; nil if the part works.
+func (s *Store) partError(part string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.partsOut[part] {
+	if s.failedParts[part] {
 		return store.ErrUnknown
 	}
 	return nil
 }
 
 // SetDeaf makes feeds deliver no changes, as before a loss of history.
-func (s *Store) SetDeaf() { s.set(func() { s.deaf = true }) }
+func (s *Store) SetDeaf() { s.update(func() { s.feedsStalled = true }) }
 
 // Rows returns the number of rows of a table.
 func (s *Store) Rows(table string) int {
@@ -166,12 +166,12 @@
 }
 
 // Compact drops the history, so that feeds must start again.
-func (s *Store) Compact() { s.set(func() { s.oldest, s.history = s.version, nil }) }
+func (s *Store) Compact() { s.update(func() { s.oldestVersion, s.history = s.version, nil }) }
 
 // Operate carries out a transaction of the operator, whose connection to the store never fails.
-func (s *Store) Operate(tx *store.Transaction) { s.set(func() { s.change(tx) }) }
+func (s *Store) Operate(tx *store.Transaction) { s.update(func() { s.change(tx) }) }
 
-func (s *Store) set(f func()) {
+func (s *Store) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -218,20 +218,21 @@
 // maxQueue is the time that queued transactions of a part may take before the part refuses more.
 const maxQueue = time.Second
 
-// turn waits until the part has finished earlier transactions; it returns store.ErrRefused if its queue is full.
-func (s *Store) turn(ctx context.Context, part string) error {
+// waitInQueue waits until the part has finished earlier transactions; it returns store.ErrRefused if its queue is
+// full.
+func (s *Store) waitInQueue(ctx context.Context, part string) error {
 	s.mu.Lock()
 	now := time.Now()
 	begin := now
-	if s.turns[part].After(now) {
-		begin = s.turns[part]
+	if s.queueEmptyAt[part].After(now) {
+		begin = s.queueEmptyAt[part]
 	}
 	if begin.Sub(now) > maxQueue {
 		s.mu.Unlock()
 		return store.ErrRefused
 	}
-	wait := begin.Sub(now) + s.commits
-	s.turns[part] = begin.Add(s.latency)
+	wait := begin.Sub(now) + s.commitDelay
+	s.queueEmptyAt[part] = begin.Add(s.latency)
 	s.mu.Unlock()
 	if !interval.Sleep(ctx, wait) {
 		return store.ErrUnknown
@@ -257,10 +258,10 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := v.store.partOut(partOf(tx)); err != nil {
+	if err := v.store.partError(partOf(tx)); err != nil {
 		return 0, err
 	}
-	if err := v.store.turn(ctx, partOf(tx)); err != nil {
+	if err := v.store.waitInQueue(ctx, partOf(tx)); err != nil {
 		return 0, err
 	}
 	version, conflict, lost := v.store.apply(tx)
@@ -268,7 +269,7 @@
 		<-ctx.Done()
 		return 0, store.ErrUnknown
 	}
-	if err := v.store.carry(ctx, v.box, 0); err != nil {
+	if err := v.store.transfer(ctx, v.box, 0); err != nil {
 		return 0, err
 	}
 	if conflict != nil {
@@ -283,7 +284,7 @@
 func (s *Store) apply(tx *store.Transaction) (version int64, conflict *store.Conflict, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lost = s.random.Float64() < s.loseRate
+	lost = s.random.Float64() < s.lossRate
 	holds := true
 	c := &store.Conflict{}
 	for _, condition := range tx.Conditions {
@@ -329,11 +330,11 @@
 	if err != nil {
 		return store.Page{}, err
 	}
-	if err := v.store.partOut(r.Part); err != nil {
+	if err := v.store.partError(r.Part); err != nil {
 		return store.Page{}, err
 	}
 	page := v.store.page(r)
-	return page, v.store.carry(ctx, v.box, len(page.Rows))
+	return page, v.store.transfer(ctx, v.box, len(page.Rows))
 }
 
 // page returns the current rows of a range.
@@ -366,7 +367,7 @@
 	if err != nil {
 		return store.Page{}, err
 	}
-	over, stop := interval.After(wait)
+	timeout, stop := interval.After(wait)
 	defer stop()
 	for {
 		page, changed, gone := v.store.since(table, since)
@@ -379,7 +380,7 @@
 		select {
 		case <-ctx.Done():
 			return store.Page{}, store.ErrUnknown
-		case <-over:
+		case <-timeout:
 			return page, nil
 		case <-changed:
 		}
@@ -389,11 +390,11 @@
 func (s *Store) since(table string, since int64) (page store.Page, changed <-chan struct{}, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if since < s.oldest {
+	if since < s.oldestVersion {
 		return store.Page{}, nil, true
 	}
 	page.Version = s.version
-	if s.deaf {
+	if s.feedsStalled {
 		return page, s.changed, false
 	}
 	first, _ := slices.BinarySearchFunc(s.history, since+1, func(row store.Row, version int64) int { return cmp.Compare(row.Version, version) })
--- a/internal/emulator/view.go
+++ b/internal/emulator/view.go
@@ -18,60 +18,61 @@
 	gate  *Gate
 }
 
-// orderLatency is the time that a command takes to arrive.
-const orderLatency = time.Millisecond
+// commandLatency is the time that a command takes to arrive.
+const commandLatency = time.Millisecond
 
 // reach waits until a command arrives and returns its worker.
 func (v *View) reach(ctx context.Context, target *fleet.Worker) (*worker, error) {
-	if !v.gate.pass(ctx) || !interval.Sleep(ctx, orderLatency) {
+	if !v.gate.pass(ctx) || !interval.Sleep(ctx, commandLatency) {
 		return nil, fleet.ErrNoAnswer
 	}
 	v.fleet.mu.Lock()
 	w := v.fleet.workers[target.ID]
 	v.fleet.mu.Unlock()
-	if w == nil || !w.isAt(target) {
+	if w == nil || !w.matchesAddress(target) {
 		<-ctx.Done()
 		return nil, fleet.ErrNoAnswer
 	}
 	return w, nil
 }
 
-// isAt reports whether a command's target has the worker's address. A worker without an address matches every target.
-func (w *worker) isAt(target *fleet.Worker) bool {
+// matchesAddress reports whether a command's target has the worker's address. A worker without an address matches
+// every target.
+func (w *worker) matchesAddress(target *fleet.Worker) bool {
 	return w.record.Address == "" || w.record.Address == target.Address
 }
 
-// order carries a command out, at once or late, and returns the worker's clock in ms.
-func (v *View) order(ctx context.Context, target *fleet.Worker, do func(w *worker) error) (int64, error) {
+// send has the worker carry a command out, at once or late, and returns the worker's clock in ms.
+func (v *View) send(ctx context.Context, target *fleet.Worker, carryOut func(w *worker) error) (int64, error) {
 	w, err := v.reach(ctx, target)
 	if err != nil {
 		return 0, err
 	}
 	w.mu.Lock()
-	if over := w.outcomeFor(v.gate.Box); over != nil {
+	if failure := w.errorFor(v.gate.Box); failure != nil {
 		w.mu.Unlock()
-		if over == fleet.ErrNoAnswer {
+		if failure == fleet.ErrNoAnswer {
 			<-ctx.Done()
 		}
-		return 0, over
+		return 0, failure
 	}
-	if w.parting {
+	if w.exiting {
 		changed := w.changed
 		w.mu.Unlock()
-		return 0, untilHangUp(ctx, changed)
+		return 0, waitForClose(ctx, changed)
 	}
-	if w.late > 0 {
-		w.late--
-		late := w.lateBy
+	if w.delayedCommands > 0 {
+		w.delayedCommands--
+		delay := w.commandDelay
 		w.mu.Unlock()
-		time.AfterFunc(late, func() { v.fleet.carryOutLate(target, do) })
+		time.AfterFunc(delay, func() { v.fleet.runDelayed(target, carryOut) })
 		<-ctx.Done()
 		return 0, fleet.ErrNoAnswer
 	}
-	err = do(w)
-	clock, late := w.clock(), w.answers
-	if w.mute > 0 {
-		w.mute--
+	err = carryOut(w)
+	clock, delay := w.clock(), w.answerDelay
+	if w.droppedAnswers > 0 {
+		w.droppedAnswers--
 		err = fleet.ErrNoAnswer
 	}
 	w.mu.Unlock()
@@ -79,26 +80,26 @@
 		<-ctx.Done()
 		return 0, err
 	}
-	if late > 0 && !interval.Sleep(ctx, late) || !v.gate.pass(ctx) {
+	if delay > 0 && !interval.Sleep(ctx, delay) || !v.gate.pass(ctx) {
 		return 0, fleet.ErrNoAnswer
 	}
 	return clock, err
 }
 
-// carryOutLate carries a delayed command out on the worker's current incarnation, as the command names none. The
+// runDelayed carries a delayed command out on the worker's current incarnation, as the command names none. The
 // answer is dropped.
-func (f *Fleet) carryOutLate(target *fleet.Worker, do func(w *worker) error) {
+func (f *Fleet) runDelayed(target *fleet.Worker, carryOut func(w *worker) error) {
 	f.mu.Lock()
 	w := f.workers[target.ID]
 	f.mu.Unlock()
-	if !w.isAt(target) {
+	if !w.matchesAddress(target) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.belated = true
-	_ = do(w)
-	w.belated = false
+	w.runsDelayedCommand = true
+	_ = carryOut(w)
+	w.runsDelayedCommand = false
 }
 
 // Start implements fleet.Commands.
@@ -107,14 +108,14 @@
 	w := v.fleet.workers[target.ID]
 	v.fleet.mu.Unlock()
 	if w != nil && w.isDead() {
-		v.fleet.noteLost(o.Task, o.Run)
+		v.fleet.recordLostRun(o.Task, o.Run)
 	}
-	return v.order(ctx, target, func(w *worker) error { return w.start(o) })
+	return v.send(ctx, target, func(w *worker) error { return w.start(o) })
 }
 
 // Stop implements fleet.Commands.
 func (v *View) Stop(ctx context.Context, target *fleet.Worker, o *fleet.Stop) (int64, error) {
-	return v.order(ctx, target, func(w *worker) error { return w.stop(o) })
+	return v.send(ctx, target, func(w *worker) error { return w.stop(o) })
 }
 
 // Look implements fleet.Commands.
@@ -123,45 +124,45 @@
 	if err != nil {
 		return fleet.Report{}, err
 	}
-	if w.muted() {
+	if w.dropsAnswer() {
 		<-ctx.Done()
 		return fleet.Report{}, fleet.ErrNoAnswer
 	}
-	if late, isLate := w.looksLate(); isLate {
-		time.AfterFunc(late, func() {
-			v.fleet.carryOutLate(target, func(w *worker) error { _, err := w.report(o); return err })
+	if delay, delayed := w.takePollDelay(); delayed {
+		time.AfterFunc(delay, func() {
+			v.fleet.runDelayed(target, func(w *worker) error { _, err := w.report(o); return err })
 		})
 		<-ctx.Done()
 		return fleet.Report{}, fleet.ErrNoAnswer
 	}
-	waited, stop := interval.After(o.Wait)
+	timeout, stop := interval.After(o.Wait)
 	defer stop()
 	for first := true; ; first = false {
 		w.mu.Lock()
-		changed, over, parting := w.changed, w.outcomeFor(v.gate.Box), w.parting
+		changed, failure, exiting := w.changed, w.errorFor(v.gate.Box), w.exiting
 		var report fleet.Report
-		err := over
-		if over == nil && !parting {
+		err := failure
+		if failure == nil && !exiting {
 			report, err = w.report(o)
 		}
 		w.mu.Unlock()
-		if over == fleet.ErrNotListening {
-			return report, lookAtEnded(first)
+		if failure == fleet.ErrNotListening {
+			return report, errorAfterExit(first)
 		}
 		if err == fleet.ErrNoAnswer {
 			<-ctx.Done()
 			return report, err
 		}
-		if over != nil {
-			return report, over
+		if failure != nil {
+			return report, failure
 		}
-		if !parting && (err != nil || len(report.Ended) > 0 || o.Wait == 0 || !first) {
+		if !exiting && (err != nil || len(report.Ended) > 0 || o.Wait == 0 || !first) {
 			return v.answer(ctx, w, report, err)
 		}
 		select {
 		case <-ctx.Done():
 			return fleet.Report{}, fleet.ErrNoAnswer
-		case <-waited:
+		case <-timeout:
 		case <-changed:
 		}
 	}
@@ -169,45 +170,45 @@
 
 // answer delivers a worker's answer to a poll to the box, after the delay that is set.
 func (v *View) answer(ctx context.Context, w *worker, report fleet.Report, err error) (fleet.Report, error) {
-	if d := w.heldBack(); d > 0 && !interval.Sleep(ctx, d) {
+	if d := w.takeAnswerDelay(); d > 0 && !interval.Sleep(ctx, d) {
 		return fleet.Report{}, fleet.ErrNoAnswer
 	}
 	if !v.gate.pass(ctx) {
 		return fleet.Report{}, fleet.ErrNoAnswer
 	}
-	w.tell(report.Ended)
+	w.recordReportedEnds(report.Ended)
 	return report, err
 }
 
-// lookAtEnded returns the error of a poll whose worker's process has ended; before says that it ended before the poll
-// arrived.
-func lookAtEnded(before bool) error {
+// errorAfterExit returns the error of a poll whose worker's process has ended; before says that it ended before the
+// poll arrived.
+func errorAfterExit(before bool) error {
 	if before {
 		return fleet.ErrNotListening
 	}
 	return fleet.ErrHungUp
 }
 
-// muted reports whether a poll gets no answer, and counts it.
-func (w *worker) muted() bool {
+// dropsAnswer reports whether a poll gets no answer, and counts it.
+func (w *worker) dropsAnswer() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.mute == 0 {
+	if w.droppedAnswers == 0 {
 		return false
 	}
-	w.mute--
+	w.droppedAnswers--
 	return true
 }
 
-// looksLate reports whether a poll gets no answer and takes effect late, and counts it; by is the delay.
-func (w *worker) looksLate() (by time.Duration, isLate bool) {
+// takePollDelay reports whether a poll gets no answer and takes effect after a delay, and counts it.
+func (w *worker) takePollDelay() (delay time.Duration, delayed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lateLooks == 0 {
+	if w.delayedPolls == 0 {
 		return 0, false
 	}
-	w.lateLooks--
-	return w.lateLookBy, true
+	w.delayedPolls--
+	return w.pollDelay, true
 }
 
 // Workers implements scheduler.Directory.
@@ -225,7 +226,7 @@
 	if !v.gate.pass(ctx) {
 		return scheduler.Listing{}, fleet.ErrNoAnswer
 	}
-	over, stop := interval.After(wait)
+	timeout, stop := interval.After(wait)
 	defer stop()
 	for {
 		l, changed := v.fleet.since(since)
@@ -235,7 +236,7 @@
 		select {
 		case <-ctx.Done():
 			return l, fleet.ErrNoAnswer
-		case <-over:
+		case <-timeout:
 			return l, nil
 		case <-changed:
 		}
