--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// RecordFormer replaces a worker's record by the last record of its previous incarnation, until the worker writes its
-// own again.
+// RecordFormer replaces a worker's record by the last record of its previous incarnation, until the worker
+// writes its own again.
 func (f *Fleet) RecordFormer(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -251,8 +251,8 @@
 	f.put(w, false)
 }
 
-// LeaveUnsaid removes the record of a worker that leaves without an announcement and stays for a time. It writes no
-// record after that.
+// LeaveUnsaid removes the record of a worker that leaves without an announcement and stays for a time. It
+// writes no record after that.
 func (f *Fleet) LeaveUnsaid(id string, stays time.Duration) {
 	f.Forget(id)
 	f.mu.Lock()
--- a/internal/emulator/signs.go
+++ b/internal/emulator/signs.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// Shut closes the worker's connections to one box and refuses new ones, or accepts them again if shut is false. An
-// empty box name stands for all boxes. The worker continues to run.
+// Shut closes the worker's connections to one box and refuses new ones, or accepts them again if shut is
+// false. An empty box name stands for all boxes. The worker continues to run.
 func (f *Fleet) Shut(id, box string, shut bool) error {
 	return f.update(id, func(w *worker) {
 		if w.closedTo == nil {
