--- a/internal/emulator/signs.go
+++ b/internal/emulator/signs.go
@@ -9,27 +9,30 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// signs is what makes a worker look gone that lives, and how one goes. The zero value is a worker that all boxes reach.
-type signs struct {
-	cutFrom  map[string]bool // Boxes that it answers nothing, though it answers others.
-	shutFrom map[string]bool // Boxes whose connections to it are closed and refused; everyBox for all.
-	holdBack time.Duration   // The next answer to a look comes so much later.
-	answers  time.Duration   // All answers come so much later.
-	told     int64           // Number of the last end that a box has been told.
-	parting  bool            // Its process is about to end, and what it still answers is lost.
-	// leaseKept says that what it listed last counts for as long as its lease would have run.
-	leaseKept bool
-	disturbed time.Time // When a condition of it last changed.
-	// leftAsSaid says that its process has ended once the time was over for which it had said that it stays, or for which one stays that doesn't say so.
-	leftAsSaid bool
-}
-
-// everyBox stands for all boxes.
+// reachability holds the faults that make a live worker look gone, and how its process ends. The zero value is a
+// worker that all boxes reach.
+type reachability struct {
+	cutFrom         map[string]bool // Boxes that get no answer, though others do.
+	closedTo        map[string]bool // Boxes whose connections are closed and refused; everyBox for all.
+	nextPollDelay   time.Duration   // Extra delay of the next answer to a poll.
+	answerDelay     time.Duration   // Extra delay of all answers.
+	lastReportedEnd int64           // Number of the last end that a box has received.
+	exiting         bool            // The process is about to end, and its remaining answers are lost.
+	// leaseKept says that the last listed ends count until the lease would have expired, though the process has
+	// ended.
+	leaseKept   bool
+	disturbedAt time.Time // Time of the last change of the worker's faults.
+	// leftAsAnnounced says that the process ended only after the time for which it had announced to stay. For a
+	// worker that leaves unannounced, it is the usual time.
+	leftAsAnnounced bool
+}
+
+// everyBox is the box name that stands for all boxes.
 const everyBox = ""
 
-// Cut makes a worker run on without answering, or answer again.
+// Cut makes a worker stop answering while it continues to run, or answer again.
 func (f *Fleet) Cut(id string, cut bool) error {
-	return f.change(id, func(w *worker) {
+	return f.update(id, func(w *worker) {
 		w.cut = cut
 		if !cut {
 			clear(w.cutFrom)
@@ -37,9 +40,9 @@
 	})
 }
 
-// CutFrom makes a worker run on without answering one box, or answer it again.
+// CutFrom makes a worker stop answering one box while it continues to run, or answer it again.
 func (f *Fleet) CutFrom(id, box string, cut bool) error {
-	return f.change(id, func(w *worker) {
+	return f.update(id, func(w *worker) {
 		if w.cutFrom == nil {
 			w.cutFrom = map[string]bool{}
 		}
@@ -47,76 +50,78 @@
 	})
 }
 
-// Shut closes what stands in front of a worker, or opens it again for all: connections of a box, or of all boxes where none is named, end in
-// order, and new ones are refused. The worker runs on.
+// Shut closes the worker's connections to one box and refuses new ones, or accepts them again if shut is
+// false. An empty box name stands for all boxes. The worker continues to run.
 func (f *Fleet) Shut(id, box string, shut bool) error {
-	return f.change(id, func(w *worker) {
-		if w.shutFrom == nil {
-			w.shutFrom = map[string]bool{}
+	return f.update(id, func(w *worker) {
+		if w.closedTo == nil {
+			w.closedTo = map[string]bool{}
 		}
 		if !shut && box == everyBox {
-			clear(w.shutFrom)
+			clear(w.closedTo)
 		}
-		w.shutFrom[box] = shut
+		w.closedTo[box] = shut
 		w.notify()
 	})
 }
 
-// HoldBack makes the next answer to a look come later, after newer ones.
+// HoldBack delays the next answer to a poll, so that newer answers may overtake it.
 func (f *Fleet) HoldBack(id string, d time.Duration) error {
-	return f.change(id, func(w *worker) { w.holdBack = d })
+	return f.update(id, func(w *worker) { w.nextPollDelay = d })
 }
 
-// AnswerLate makes all answers of a worker come later: it is busy, or its machine is.
+// AnswerLate delays all answers of a worker, as when it or its machine is busy.
 func (f *Fleet) AnswerLate(id string, d time.Duration) error {
-	return f.change(id, func(w *worker) { w.answers = d })
+	return f.update(id, func(w *worker) { w.answerDelay = d })
 }
 
-// heldBack is how much later an answer to a look comes; the next one comes as usual again.
-func (w *worker) heldBack() time.Duration {
+// takeAnswerDelay returns the delay of an answer to a poll, and ends the delay that was set for one answer only.
+func (w *worker) takeAnswerDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	d := max(w.holdBack, w.answers)
-	w.holdBack = 0
+	d := max(w.nextPollDelay, w.answerDelay)
+	w.nextPollDelay = 0
 	return d
 }
 
-// tell notes that a box has been told of ends.
-func (w *worker) tell(ends []fleet.End) {
+// recordReportedEnds records that a box has received ends.
+func (w *worker) recordReportedEnds(ends []fleet.End) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range ends {
-		w.told = max(w.told, ends[i].Number)
+		w.lastReportedEnd = max(w.lastReportedEnd, ends[i].Number)
 	}
 }
 
-// outcomeFor is what an order of a box to a worker that is over or out of its reach comes to; nil for one that it may reach.
-func (w *worker) outcomeFor(box string) error {
+// errorFor returns the error of a command from a box to a worker that has ended or is out of its reach; nil if the
+// box reaches it.
+func (w *worker) errorFor(box string) error {
 	switch {
 	case w.replaced:
 		return fleet.OtherLife
 	case w.cut || w.cutFrom[box]:
 		return fleet.ErrNoAnswer
-	case w.shutFrom[everyBox] || w.shutFrom[box] || w.over:
+	case w.closedTo[everyBox] || w.closedTo[box] || w.processEnded:
 		return fleet.ErrNotListening
 	}
 	return nil
 }
 
-// hardToReach reports whether a box may miss an answer of the worker, or get it late.
-func (w *worker) hardToReach() bool {
-	for _, from := range []map[string]bool{w.cutFrom, w.shutFrom} {
-		for _, away := range from {
-			if away {
+// isHardToReach reports whether a box may miss an answer of the worker, or get it late.
+func (w *worker) isHardToReach() bool {
+	for _, boxes := range []map[string]bool{w.cutFrom, w.closedTo} {
+		for _, blocked := range boxes {
+			if blocked {
 				return true
 			}
 		}
 	}
-	return w.cut || w.late > 0 || w.lateLooks > 0 || w.mute > 0 || w.holdBack > 0 || w.answers > 0
+	return w.cut || w.delayedCommands > 0 || w.delayedPolls > 0 || w.droppedAnswers > 0 || w.nextPollDelay > 0 || w.answerDelay > 0
 }
 
-// untilHangUp waits until a process ends that answers nothing any more.
-func untilHangUp(ctx context.Context, changed <-chan struct{}) error {
+// waitForClose waits until the process of an exiting worker ends, or until ctx ends, and returns the error that the
+// box sees.
+func waitForClose(ctx context.Context, changed <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
 		return fleet.ErrNoAnswer
@@ -125,80 +130,84 @@
 	}
 }
 
-// LastMoments is how a worker's process ends just after a run there.
+// LastMoments says how a worker's process ends just after a run there.
 type LastMoments struct {
-	Lost  bool // What it answers in that time is lost.
-	Due   bool // Only once the time has passed for which it said that it stays.
-	Crash bool // It crashes, as SetCrash said; otherwise it leaves as it had said.
+	Lost bool // Answers are lost between the end of the run and that of the process.
+	Due  bool // Applies only once the time has passed for which the worker stays.
+	// The process crashes in the way that SetCrash has set; otherwise the worker leaves as announced.
+	Crash bool
 }
 
 const (
-	// lastMoments is how long before the end of a process a run may end there and be listed.
-	lastMoments = 5 * time.Millisecond
-	// recordAfter is how soon after its process a worker's record goes that leaves; seen: 2 to 35 ms.
-	recordAfter = 20 * time.Millisecond
+	// exitDelay is the time from the end of a run to that of the process.
+	exitDelay = 5 * time.Millisecond
+	// recordRemovalDelay is the time from the end of a departing worker's process to the removal of its record; 2 to
+	// 35 ms were seen.
+	recordRemovalDelay = 20 * time.Millisecond
 )
 
-// EndWith ends the process of a worker a few ms after it has listed the next run of a job as done.
-func (f *Fleet) EndWith(id job.ID, how LastMoments) {
+// EndWith ends a worker's process a few ms after it has listed the next successful run of a job.
+func (f *Fleet) EndWith(id job.ID, mode LastMoments) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lasts[id] = how
+	f.exits[id] = mode
 }
 
-// isDue reports whether a worker has stayed for as long as it said. The caller holds the lock.
-func (f *Fleet) isDue(id string) bool {
-	due, said := f.dueAt[id]
-	return said && !time.Now().Before(due)
+// isDepartureDue reports whether the time has passed for which a departing worker stays. The caller holds the lock.
+func (f *Fleet) isDepartureDue(id string) bool {
+	due, departing := f.departsAt[id]
+	return departing && !time.Now().Before(due)
 }
 
-// SetStops sets how long a stop takes; what is being stopped works no more and takes its room until then.
+// SetStops sets how long a stop takes. Until then a run that is being stopped makes no progress but uses its
+// resources.
 func (f *Fleet) SetStops(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stops = d
+	f.stopDuration = d
 }
 
-// stopTime is how long a stop takes.
+// stopTime returns how long a stop takes.
 func (f *Fleet) stopTime() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.stops
+	return f.stopDuration
 }
 
-// beginLastMoments ends the worker's process soon where that was asked for with the end of a run. The caller holds the worker's lock.
-func (w *worker) beginLastMoments(id job.ID) {
+// scheduleExit schedules the end of the worker's process if one was requested for this job. The caller holds
+// the worker's lock.
+func (w *worker) scheduleExit(id job.ID) {
 	f := w.fleet
 	f.mu.Lock()
-	how, ok := f.lasts[id]
-	ok = ok && (!how.Due || f.isDue(w.record.ID))
+	mode, ok := f.exits[id]
+	ok = ok && (!mode.Due || f.isDepartureDue(w.record.ID))
 	if ok {
-		delete(f.lasts, id)
+		delete(f.exits, id)
 	}
 	f.mu.Unlock()
 	if !ok {
 		return
 	}
-	w.parting, w.leaseKept = how.Lost, true
-	time.AfterFunc(lastMoments, func() { w.endProcess(how) })
+	w.exiting, w.leaseKept = mode.Lost, true
+	time.AfterFunc(exitDelay, func() { w.endProcess(mode) })
 }
 
-// endProcess ends a process after its last moments.
-func (w *worker) endProcess(how LastMoments) {
+// endProcess ends a worker's process in the requested way.
+func (w *worker) endProcess(mode LastMoments) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.dead {
 		return
 	}
-	if how.Crash {
+	if mode.Crash {
 		w.crash()
 		return
 	}
-	w.die(true)
+	w.terminate(true)
 	f := w.fleet
 	go func() {
-		if interval.Sleep(f.ctx, recordAfter) {
-			f.forgetLife(w.life)
+		if interval.Sleep(f.ctx, recordRemovalDelay) {
+			f.forgetIncarnation(w.incarnation)
 		}
 	}()
 }
