--- a/internal/decider/baseline.go
+++ b/internal/decider/baseline.go
@@ -8,32 +8,35 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// shape is short for the contract's shape where it is the result of a function literal.
+// shape abbreviates contract.Shape.
 type shape = contract.Shape
 
-// quota is the account that both baselines keep: guarantees as plain amounts of accelerators.
-type quota struct {
-	*board
-	guaranteed map[string]int // By workspace.
-	newest     []int          // Running gangs that borrow, the newest first.
-	loose      int            // Accelerators beyond all guarantees, less what unstoppable work holds there.
+// quotaPlanner is the state of a pass of the baseline policies. They treat a guarantee as a number of accelerators
+// anywhere in the hall.
+type quotaPlanner struct {
+	*planner
+	guaranteed   map[string]int // Guaranteed accelerators by workspace.
+	borrowers    []int          // Indexes of running gangs that borrow, newest first.
+	unguaranteed int            // Accelerators beyond the guarantees, less those that unstoppable gangs use.
 }
 
-func newQuota(v *View) *quota {
-	q := &quota{board: newBoard(v), guaranteed: map[string]int{}}
+// newQuotaPlanner returns the state at the start of a pass, with the borrowers found.
+func newQuotaPlanner(v *View) *quotaPlanner {
+	q := &quotaPlanner{planner: newPlanner(v), guaranteed: map[string]int{}}
 	for i := range v.Workers {
-		q.loose += v.Workers[i].Capacity.Accelerators
+		q.unguaranteed += v.Workers[i].Capacity.Accelerators
 	}
 	for _, w := range v.Site.Workspaces {
 		q.guaranteed[w.Name] = w.Guaranteed()
-		q.loose -= w.Guaranteed()
+		q.unguaranteed -= w.Guaranteed()
 	}
 	q.findBorrowers()
 	return q
 }
 
-// findBorrowers walks the running gangs in the order of their start; what exceeds a guarantee borrows.
-func (q *quota) findBorrowers() {
+// findBorrowers lists the running gangs that exceed the guarantee of their workspace, counted unstoppable gangs first
+// and then by start time.
+func (q *quotaPlanner) findBorrowers() {
 	running := q.view.Running
 	order := make([]int, 0, len(running))
 	for i := range running {
@@ -53,40 +56,41 @@
 			continue
 		}
 		if j.Lendable() {
-			q.newest = append(q.newest, i)
+			q.borrowers = append(q.borrowers, i)
 		} else {
-			q.loose -= j.Accelerators()
+			q.unguaranteed -= j.Accelerators()
 		}
 	}
-	slices.Reverse(q.newest)
+	slices.Reverse(q.borrowers)
 }
 
-// within reports whether a job stays inside its workspace's guarantee.
-func (q *quota) within(j *Job) bool {
+// withinGuarantee reports whether a job fits the guarantee of its workspace.
+func (q *quotaPlanner) withinGuarantee(j *Job) bool {
 	return j.Accelerators() > 0 && q.used[j.Workspace]+j.Accelerators() <= q.guaranteed[j.Workspace]
 }
 
-// may reports whether a job may start wherever it fits.
-func (q *quota) may(j *Job) bool {
+// mayStart reports whether the limits and guarantees allow the job to start.
+func (q *quotaPlanner) mayStart(j *Job) bool {
 	if q.overLimit(j) {
 		return false
 	}
-	return j.Lendable() || q.within(j) || j.Accelerators() <= q.loose
+	return j.Lendable() || q.withinGuarantee(j) || j.Accelerators() <= q.unguaranteed
 }
 
-// begin starts a job and keeps the account.
-func (q *quota) begin(j *Job, members []Member, code Code) {
-	if !j.Lendable() && !q.within(j) {
-		q.loose -= j.Accelerators()
+// startCounted starts a job and subtracts it from unguaranteed if it cannot be stopped and exceeds its guarantee.
+func (q *quotaPlanner) startCounted(j *Job, members []Member, code Code) {
+	if !j.Lendable() && !q.withinGuarantee(j) {
+		q.unguaranteed -= j.Accelerators()
 	}
 	q.start(j, members, &Reason{Code: code})
 }
 
-// reclaim stops the newest borrowers of the rack where the fewest have to go. It reports whether the job was dealt with.
-func (q *quota) reclaim(index int, j *Job) bool {
+// reclaim preempts the newest borrowers on the rack where the fewest must stop. It returns false if no rack can be
+// freed.
+func (q *quotaPlanner) reclaim(index int, j *Job) bool {
 	var best *plan
 	for rack := range q.view.Racks {
-		p := q.newestPlan(rack, j)
+		p := q.planOnRack(rack, j)
 		if p != nil && (best == nil || len(p.victims) < len(best.victims)) {
 			best = p
 		}
@@ -97,21 +101,21 @@
 	for _, i := range best.victims {
 		q.stop(i, true, j.Key, &Reason{Code: ReclaimedFor, Who: j.Key})
 	}
-	q.newest = slices.DeleteFunc(q.newest, func(i int) bool { return slices.Contains(best.victims, i) })
-	q.reserve(j, best.members)
-	q.wait(index, &Reason{Code: AwaitsReclaim})
+	q.borrowers = slices.DeleteFunc(q.borrowers, func(i int) bool { return slices.Contains(best.victims, i) })
+	q.reserveDevices(j, best.members)
+	q.recordWait(index, &Reason{Code: AwaitsReclaim})
 	return true
 }
 
-// newestPlan adds borrowers of one rack, the newest first, until the gang would fit.
-func (q *quota) newestPlan(rack int, j *Job) *plan {
+// planOnRack returns a plan that preempts borrowers on one rack, newest first, until the gang fits, or nil.
+func (q *quotaPlanner) planOnRack(rack int, j *Job) *plan {
 	p := &plan{rack: rack}
 	freed := map[int]int{}
 	if q.tryPlan(p, j, freed) {
 		return p
 	}
-	for _, i := range q.newest {
-		if !q.touches(i, rack) {
+	for _, i := range q.borrowers {
+		if !q.runsOn(i, rack) {
 			continue
 		}
 		p.victims = append(p.victims, i)
@@ -125,7 +129,8 @@
 	return nil
 }
 
-func (q *quota) touches(i, rack int) bool {
+// runsOn reports whether a running gang has members on a rack.
+func (q *quotaPlanner) runsOn(i, rack int) bool {
 	for _, m := range q.view.Running[i].Members {
 		if q.view.Workers[m.Worker].Rack == rack {
 			return true
@@ -134,10 +139,11 @@
 	return false
 }
 
-// tryPlan lays the gang onto what is free, leaving, or freed by the victims so far.
-func (q *quota) tryPlan(p *plan, j *Job, freed map[int]int) bool {
+// tryPlan sets the plan's members if the gang fits the free devices and those of stopping gangs and victims. It reports
+// whether it fits.
+func (q *quotaPlanner) tryPlan(p *plan, j *Job, freed map[int]int) bool {
 	p.members = q.spread(p.rack, j, func(worker int) (room shape) {
-		s := &q.seats[worker]
+		s := &q.workers[worker]
 		room = s.free.Add(s.leaving)
 		for _, i := range p.victims {
 			if freed[worker] > 0 {
@@ -149,9 +155,9 @@
 	return p.members != nil
 }
 
-// arrivals returns the waiting jobs that may run at all in the order of their arrival.
-func (q *quota) arrivals() []int {
-	rest := q.refuse()
+// waitingByArrival returns the indexes of the waiting jobs that can run, in the order of their arrival.
+func (q *quotaPlanner) waitingByArrival() []int {
+	rest := q.rejectImpossible()
 	slices.SortFunc(rest, func(x, y int) int {
 		a, b := &q.view.Waiting[x], &q.view.Waiting[y]
 		return cmp.Or(a.Arrived.Compare(b.Arrived), cmp.Compare(a.Key, b.Key))
@@ -159,42 +165,42 @@
 	return rest
 }
 
-// FirstFit is the baseline that starts in arrival order whatever fits on the first rack and workers that take it.
+// FirstFit is a baseline policy: in the order of arrival, it starts jobs on the first rack and workers that fit them.
 type FirstFit struct{}
 
-// Name implements Policy.
+// Name returns the name of the policy.
 func (FirstFit) Name() string { return "first_fit" }
 
-// Decide implements Policy.
+// Decide starts jobs in the order of arrival and reclaims devices for jobs within their guarantee.
 func (FirstFit) Decide(v *View) Outcome {
-	q := newQuota(v)
-	failed := map[class]bool{}
-	for _, i := range q.arrivals() {
+	q := newQuotaPlanner(v)
+	noRoom := map[requestClass]bool{}
+	for _, i := range q.waitingByArrival() {
 		j := &v.Waiting[i]
-		c := classOf(j)
-		if failed[c] && len(j.FailedOn) == 0 {
-			q.wait(i, &Reason{Code: NoRoom})
+		c := requestClassOf(j)
+		if noRoom[c] && len(j.FailedOn) == 0 {
+			q.recordWait(i, &Reason{Code: NoRoom})
 			continue
 		}
-		if q.may(j) {
+		if q.mayStart(j) {
 			if members := q.firstRack(j); members != nil {
-				q.begin(j, members, Fits)
+				q.startCounted(j, members, Fits)
 				continue
 			}
-			if q.within(j) && q.reclaim(i, j) {
+			if q.withinGuarantee(j) && q.reclaim(i, j) {
 				continue
 			}
 		}
 		if len(j.FailedOn) == 0 {
-			failed[c] = true
+			noRoom[c] = true
 		}
-		q.wait(i, &Reason{Code: NoRoom})
+		q.recordWait(i, &Reason{Code: NoRoom})
 	}
 	return q.outcome
 }
 
-// firstRack lays the gang onto the first workers with room of the first rack that takes it whole.
-func (q *quota) firstRack(j *Job) []Member {
+// firstRack places the gang on the first workers with free devices of the first rack that fits it, or returns nil.
+func (q *quotaPlanner) firstRack(j *Job) []Member {
 	for rack := range q.view.Racks {
 		left := j.Gang
 		var members []Member
@@ -202,7 +208,7 @@
 			if left == 0 || !q.usable(k, j) {
 				continue
 			}
-			if n := min(left, j.Shape.Copies(q.seats[k].free)); n > 0 {
+			if n := min(left, j.Shape.Copies(q.workers[k].free)); n > 0 {
 				members = append(members, Member{Worker: k, Count: n})
 				left -= n
 			}
@@ -214,69 +220,71 @@
 	return nil
 }
 
-// Backfill is the baseline with best fit and EASY backfilling by declared run times: the oldest gang that does not fit
-// gets the rack where it should fit the soonest, and younger ones start there only if they should end before.
+// Backfill is a baseline policy with best fit and EASY backfilling by declared run times. The oldest gang that does not
+// fit gets the rack where it should fit first. Later gangs start there only if they should end before that.
 type Backfill struct{}
 
-// Name implements Policy.
+// Name returns the name of the policy.
 func (Backfill) Name() string { return "backfill" }
 
-// Decide implements Policy.
+// Decide starts jobs in the order of arrival, with one rack reserved for the oldest gang that does not fit.
 func (Backfill) Decide(v *View) Outcome {
-	q := newQuota(v)
-	failed := map[class]bool{}
+	q := newQuotaPlanner(v)
+	noRoom := map[requestClass]bool{}
 	reserved, shadow := -1, math.Inf(1)
-	for _, i := range q.arrivals() {
+	for _, i := range q.waitingByArrival() {
 		j := &v.Waiting[i]
-		c := classOf(j)
-		if !q.may(j) || failed[c] && len(j.FailedOn) == 0 {
-			q.wait(i, &Reason{Code: NoRoom})
+		c := requestClassOf(j)
+		if !q.mayStart(j) || noRoom[c] && len(j.FailedOn) == 0 {
+			q.recordWait(i, &Reason{Code: NoRoom})
 			continue
 		}
-		if q.startBeside(j, reserved, shadow) {
+		if q.startWithoutDelay(j, reserved, shadow) {
 			continue
 		}
-		if q.within(j) && q.reclaim(i, j) {
+		if q.withinGuarantee(j) && q.reclaim(i, j) {
 			continue
 		}
 		if reserved < 0 {
-			reserved, shadow = q.soonest(j)
+			reserved, shadow = q.earliestRack(j)
 		}
 		if len(j.FailedOn) == 0 {
-			failed[c] = true
+			noRoom[c] = true
 		}
-		q.wait(i, &Reason{Code: NoRoom})
+		q.recordWait(i, &Reason{Code: NoRoom})
 	}
 	return q.outcome
 }
 
-// startBeside starts a job on the fullest rack that takes it; on the reserved rack only if it should end in time.
-func (q *quota) startBeside(j *Job, reserved int, shadow float64) bool {
-	kept := make([]string, len(q.view.Racks))
+// startWithoutDelay starts a job on the fullest rack that fits it, but on the reserved rack only if the job should end
+// within shadow seconds. It returns false if no rack fits.
+func (q *quotaPlanner) startWithoutDelay(j *Job, reserved int, shadow float64) bool {
+	reservedFor := make([]string, len(q.view.Racks))
 	if reserved >= 0 && j.DeclaredSeconds-j.Done > shadow {
-		kept[reserved] = "the oldest"
+		reservedFor[reserved] = "the oldest"
 	}
-	_, members := q.fullestRack(j, q.freeRoom, kept)
+	_, members := q.fullestRack(j, q.freeRoom, reservedFor)
 	if members == nil {
 		return false
 	}
-	q.begin(j, members, Fits)
+	q.startCounted(j, members, Fits)
 	return true
 }
 
-// soonest returns the rack where the gang should fit first by declared run times, and in how many seconds.
-func (q *quota) soonest(j *Job) (rack int, seconds float64) {
+// earliestRack returns the rack where the gang should fit first by declared run times, and the seconds until then.
+func (q *quotaPlanner) earliestRack(j *Job) (rack int, seconds float64) {
 	rack, seconds = -1, math.Inf(1)
 	for r := range q.view.Racks {
-		if t := q.declaredVacated(r, j); t < seconds {
+		if t := q.declaredSecondsUntilFits(r, j); t < seconds {
 			rack, seconds = r, t
 		}
 	}
 	return rack, seconds
 }
 
-// declaredVacated returns the seconds after which the gang should fit a rack by declared run times.
-func (q *quota) declaredVacated(rack int, j *Job) float64 {
+// declaredSecondsUntilFits returns the seconds after which the gang should fit a rack by declared run times, or
+// infinity.
+func (q *quotaPlanner) declaredSecondsUntilFits(rack int, j *Job) float64 {
 	type end struct {
 		seconds float64
 		index   int
@@ -284,7 +292,7 @@
 	var ends []end
 	seen := map[int]bool{}
 	for _, k := range q.view.Racks[rack].Workers {
-		for _, i := range q.seats[k].gangs {
+		for _, i := range q.workers[k].gangs {
 			if i >= 0 && !seen[i] {
 				seen[i] = true
 				r := &q.view.Running[i]
@@ -294,12 +302,12 @@
 		}
 	}
 	slices.SortFunc(ends, func(x, y end) int { return cmp.Or(cmp.Compare(x.seconds, y.seconds), cmp.Compare(x.index, y.index)) })
-	gone := map[int]shape{}
+	freed := map[int]shape{}
 	for _, e := range ends {
 		for _, m := range q.view.Running[e.index].Members {
-			gone[m.Worker] = gone[m.Worker].Add(q.view.Running[e.index].Job.Shape.Times(m.Count))
+			freed[m.Worker] = freed[m.Worker].Add(q.view.Running[e.index].Job.Shape.Times(m.Count))
 		}
-		if q.spread(rack, j, func(k int) shape { return q.seats[k].free.Add(gone[k]) }) != nil {
+		if q.spread(rack, j, func(k int) shape { return q.workers[k].free.Add(freed[k]) }) != nil {
 			return e.seconds
 		}
 	}
--- a/internal/decider/board.go
+++ b/internal/decider/board.go
@@ -7,92 +7,94 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// charge says on whose account a running gang holds its devices. It is worked out anew in each pass.
+// charge tells which capacity a running gang uses. Each pass computes it anew.
 type charge int
 
 const (
-	borrowed   charge = iota // Devices that may be claimed back.
+	borrowed   charge = iota // Devices that may be reclaimed.
 	guaranteed               // Devices pledged to its workspace.
-	surplus                  // Devices pledged to nobody, held by work that can't be stopped.
+	unreserved               // Unreserved devices, used by a gang that cannot be stopped.
 )
 
-// part is what is pledged of a worker to a workspace and how much of it is in use by the workspace's gangs.
-type part struct {
-	workspace string
-	shape     contract.Shape
-	used      contract.Shape // By gangs charged to the guarantee.
-	fixed     contract.Shape // Of used, what can't be stopped.
+// workspacePledge records a workspace's pledge on one worker and how much of it the workspace's gangs use.
+type workspacePledge struct {
+	workspace   string
+	capacity    contract.Shape
+	used        contract.Shape // In use by gangs that are charged to the guarantee.
+	unstoppable contract.Shape // The part of used that cannot be stopped.
 }
 
-// seat is one worker during a pass.
-type seat struct {
-	free    contract.Shape // Neither held nor promised in this pass.
-	leaving contract.Shape // Held by gangs that are stopping.
-	open    contract.Shape // Pledged to nobody, less what unstoppable work holds.
-	parts   []part
-	gangs   []int // Running gangs with members here.
+// workerState is the state of one worker during a pass.
+type workerState struct {
+	free       contract.Shape // Neither in use nor assigned in this pass.
+	leaving    contract.Shape // In use by gangs that are stopping, and not yet assigned.
+	unreserved contract.Shape // Unreserved capacity, less what unstoppable gangs use.
+	pledges    []workspacePledge
+	gangs      []int // Indexes of running gangs with members here; -1 for a gang that probes the worker.
 }
 
-// board is the working state of one pass.
-type board struct {
-	view     *View
-	seats    []seat
-	charges  []charge
-	stopping []bool         // Running gangs that leave, by earlier passes or this one.
-	used     map[string]int // Accelerators by workspace, stopping gangs left out.
-	pledged  map[string]int // Accelerators pledged in this hall by workspace.
-	charged  map[string]int // Accelerators charged to the guarantee by workspace.
-	kept     []string       // By rack: the job that it is set aside for.
-	outcome  Outcome
+// planner holds the state of one pass.
+type planner struct {
+	view        *View
+	workers     []workerState
+	charges     []charge
+	stopping    []bool         // Running gangs that an earlier pass or this one stops.
+	used        map[string]int // Accelerators in use by workspace, without stopping gangs.
+	pledged     map[string]int // Accelerators pledged in this hall by workspace.
+	charged     map[string]int // Accelerators charged to the guarantee by workspace.
+	reservedFor []string       // By rack: the job for which it is reserved, or an empty string.
+	outcome     Outcome
 
-	biggest    int                            // Accelerators of the largest worker.
-	workspaces map[string]*contract.Workspace // Of the site, by name.
-	plans      int                            // Plans made for large gangs in this pass.
-	vacatedAt  map[string]float64             // Seconds until a kept rack should have room, by the job it is kept for.
+	largestWorker     int                            // Accelerators of the largest worker.
+	workspaces        map[string]*contract.Workspace // The site's workspaces by name.
+	plannedGangs      int                            // Number of large gangs planned in this pass.
+	secondsUntilReady map[string]float64             // Seconds until a reserved rack fits its gang, by job.
 }
 
-func newBoard(v *View) *board {
-	b := &board{
-		view: v, seats: make([]seat, len(v.Workers)), charges: make([]charge, len(v.Running)),
+// newPlanner returns the state at the start of a pass.
+func newPlanner(v *View) *planner {
+	pl := &planner{
+		view: v, workers: make([]workerState, len(v.Workers)), charges: make([]charge, len(v.Running)),
 		stopping: make([]bool, len(v.Running)), used: map[string]int{}, pledged: map[string]int{},
-		charged: map[string]int{}, kept: make([]string, len(v.Racks)),
+		charged: map[string]int{}, reservedFor: make([]string, len(v.Racks)),
 	}
-	b.workspaces = make(map[string]*contract.Workspace, len(v.Site.Workspaces))
+	pl.workspaces = make(map[string]*contract.Workspace, len(v.Site.Workspaces))
 	for i := range v.Site.Workspaces {
-		b.workspaces[v.Site.Workspaces[i].Name] = &v.Site.Workspaces[i]
+		pl.workspaces[v.Site.Workspaces[i].Name] = &v.Site.Workspaces[i]
 	}
 	for name, n := range v.UsedBefore {
-		b.used[name] = n
+		pl.used[name] = n
 	}
 	for i := range v.Workers {
-		b.seats[i] = newSeat(&v.Workers[i], v)
-		b.biggest = max(b.biggest, v.Workers[i].Capacity.Accelerators)
-		for _, p := range b.seats[i].parts {
-			b.pledged[p.workspace] += p.shape.Accelerators
+		pl.workers[i] = newWorkerState(&v.Workers[i], v)
+		pl.largestWorker = max(pl.largestWorker, v.Workers[i].Capacity.Accelerators)
+		for _, p := range pl.workers[i].pledges {
+			pl.pledged[p.workspace] += p.capacity.Accelerators
 		}
 	}
 	for i := range v.Running {
-		b.seat(i)
+		pl.addRunning(i)
 	}
-	b.chargeAll()
-	return b
+	pl.chargeAll()
+	return pl
 }
 
-func newSeat(w *Worker, v *View) seat {
-	s := seat{free: w.Capacity, open: w.Capacity}
+// newWorkerState returns the state of an idle worker, with the pledges of the layout.
+func newWorkerState(w *Worker, v *View) workerState {
+	s := workerState{free: w.Capacity, unreserved: w.Capacity}
 	for _, share := range v.Layout[w.Name] {
-		s.parts = append(s.parts, part{workspace: share.Workspace, shape: share.Shape})
-		s.open = s.open.Sub(share.Shape)
+		s.pledges = append(s.pledges, workspacePledge{workspace: share.Workspace, capacity: share.Shape})
+		s.unreserved = s.unreserved.Sub(share.Shape)
 	}
 	return s
 }
 
-// seat takes the devices of a running gang.
-func (b *board) seat(i int) {
-	r := &b.view.Running[i]
-	b.stopping[i] = r.Stopping
+// addRunning subtracts the devices of a running gang from the free capacity.
+func (pl *planner) addRunning(i int) {
+	r := &pl.view.Running[i]
+	pl.stopping[i] = r.Stopping
 	for _, m := range r.Members {
-		s := &b.seats[m.Worker]
+		s := &pl.workers[m.Worker]
 		shape := r.Job.Shape.Times(m.Count)
 		s.free = s.free.Sub(shape)
 		s.gangs = append(s.gangs, i)
@@ -101,27 +103,28 @@
 		}
 	}
 	if !r.Stopping {
-		b.used[r.Job.Workspace] += r.Job.Accelerators()
+		pl.used[r.Job.Workspace] += r.Job.Accelerators()
 	}
 }
 
-// chargeAll works out on whose account each gang runs: unstoppable work first, then by the time of start.
-func (b *board) chargeAll() {
-	order := make([]int, len(b.view.Running))
+// chargeAll sets the charge of each running gang: unstoppable gangs first, then by start time.
+func (pl *planner) chargeAll() {
+	order := make([]int, len(pl.view.Running))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(x, y int) int {
-		p, q := &b.view.Running[x], &b.view.Running[y]
+		p, q := &pl.view.Running[x], &pl.view.Running[y]
 		return cmp.Or(compareBool(p.Job.Lendable(), q.Job.Lendable()), p.Started.Compare(q.Started), cmp.Compare(p.Job.Key, q.Job.Key))
 	})
 	for _, i := range order {
-		if !b.stopping[i] {
-			b.charges[i] = b.charge(&b.view.Running[i].Job, b.view.Running[i].Members)
+		if !pl.stopping[i] {
+			pl.charges[i] = pl.charge(&pl.view.Running[i].Job, pl.view.Running[i].Members)
 		}
 	}
 }
 
+// compareBool orders false before true.
 func compareBool(x, y bool) int {
 	switch {
 	case x == y:
@@ -132,12 +135,12 @@
 	return 1
 }
 
-// charge books a gang on its workspace's pledge where every member fits it. Work that can't be stopped is booked
-// member by member, on the pledge or on open devices; other work is borrowed.
-func (b *board) charge(j *Job, members []Member) charge {
-	if b.onPledge(j, members) {
+// charge charges a gang to its workspace's pledge if every member fits there. Otherwise a gang that cannot be stopped
+// is charged by worker, to the pledge or to unreserved devices, and any other gang borrows.
+func (pl *planner) charge(j *Job, members []Member) charge {
+	if pl.fitsPledge(j, members) {
 		for _, m := range members {
-			b.book(j, m)
+			pl.chargePledge(j, m)
 		}
 		return guaranteed
 	}
@@ -145,66 +148,68 @@
 		return borrowed
 	}
 	for _, m := range members {
-		if b.onPledge(j, []Member{m}) {
-			b.book(j, m)
+		if pl.fitsPledge(j, []Member{m}) {
+			pl.chargePledge(j, m)
 			continue
 		}
-		s := &b.seats[m.Worker]
-		s.open = s.open.Sub(j.Shape.Times(m.Count))
+		s := &pl.workers[m.Worker]
+		s.unreserved = s.unreserved.Sub(j.Shape.Times(m.Count))
 	}
-	return surplus
+	return unreserved
 }
 
-func (b *board) onPledge(j *Job, members []Member) bool {
+// fitsPledge reports whether all the members fit the unused pledge of the job's workspace.
+func (pl *planner) fitsPledge(j *Job, members []Member) bool {
 	for _, m := range members {
-		p := b.seats[m.Worker].part(j.Workspace)
-		if p == nil || !j.Shape.Times(m.Count).Fits(p.shape.Sub(p.used)) {
+		p := pl.workers[m.Worker].pledgeOf(j.Workspace)
+		if p == nil || !j.Shape.Times(m.Count).Fits(p.capacity.Sub(p.used)) {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *board) book(j *Job, m Member) {
-	p := b.seats[m.Worker].part(j.Workspace)
+// chargePledge charges a member to the pledge of the job's workspace.
+func (pl *planner) chargePledge(j *Job, m Member) {
+	p := pl.workers[m.Worker].pledgeOf(j.Workspace)
 	shape := j.Shape.Times(m.Count)
 	p.used = p.used.Add(shape)
 	if !j.Lendable() {
-		p.fixed = p.fixed.Add(shape)
+		p.unstoppable = p.unstoppable.Add(shape)
 	}
-	b.charged[j.Workspace] += shape.Accelerators
+	pl.charged[j.Workspace] += shape.Accelerators
 }
 
-// part returns the pledge of a workspace on the seat, or nil.
-func (s *seat) part(workspace string) *part {
-	for i := range s.parts {
-		if s.parts[i].workspace == workspace {
-			return &s.parts[i]
+// pledgeOf returns the pledge of a workspace on the worker, or nil.
+func (s *workerState) pledgeOf(workspace string) *workspacePledge {
+	for i := range s.pledges {
+		if s.pledges[i].workspace == workspace {
+			return &s.pledges[i]
 		}
 	}
 	return nil
 }
 
-// firm returns what a gang that can't be stopped may take of a seat now.
-func (b *board) firm(worker int, j *Job) contract.Shape {
-	return meet(b.firmRoom(worker, j), b.seats[worker].free)
+// unreclaimableFree returns the free capacity of a worker that a gang may use that cannot be stopped.
+func (pl *planner) unreclaimableFree(worker int, j *Job) contract.Shape {
+	return minShape(pl.unreclaimable(worker, j), pl.workers[worker].free)
 }
 
-// firmRoom returns what can't be claimed back from the job on a seat, free or not: the unused pledge of its workspace
-// or what is pledged to nobody, whichever holds more of its members.
-func (b *board) firmRoom(worker int, j *Job) contract.Shape {
-	s := &b.seats[worker]
-	if p := s.part(j.Workspace); p != nil {
-		own := p.shape.Sub(p.used)
-		if j.Shape.Copies(own) >= j.Shape.Copies(s.open) {
+// unreclaimable returns the capacity of a worker that cannot be reclaimed from the job, whether free or not: the unused
+// pledge of its workspace or the unreserved devices, whichever fits more of its members.
+func (pl *planner) unreclaimable(worker int, j *Job) contract.Shape {
+	s := &pl.workers[worker]
+	if p := s.pledgeOf(j.Workspace); p != nil {
+		own := p.capacity.Sub(p.used)
+		if j.Shape.Copies(own) >= j.Shape.Copies(s.unreserved) {
 			return own
 		}
 	}
-	return s.open
+	return s.unreserved
 }
 
-// meet returns the smaller amount in every dimension.
-func meet(x, y contract.Shape) contract.Shape {
+// minShape returns the minimum of each resource.
+func minShape(x, y contract.Shape) contract.Shape {
 	return contract.Shape{
 		CPUs:         min(x.CPUs, y.CPUs),
 		MemoryGB:     min(x.MemoryGB, y.MemoryGB),
@@ -212,50 +217,50 @@
 	}
 }
 
-// usable reports whether new members may go to a worker.
-func (b *board) usable(worker int, j *Job) bool {
-	w := &b.view.Workers[worker]
+// usable reports whether members of the job may start on a worker.
+func (pl *planner) usable(worker int, j *Job) bool {
+	w := &pl.view.Workers[worker]
 	if !w.Usable {
 		return false
 	}
-	if w.Probe && len(b.seats[worker].gangs) > 0 {
+	if w.Probe && len(pl.workers[worker].gangs) > 0 {
 		return false
 	}
 	return len(j.FailedOn) == 0 || !slices.Contains(j.FailedOn, w.Name)
 }
 
-// start places a gang and takes its devices.
-func (b *board) start(j *Job, members []Member, reason *Reason) {
+// start decides to start a gang and subtracts its devices from the free capacity.
+func (pl *planner) start(j *Job, members []Member, reason *Reason) {
 	for _, m := range members {
-		s := &b.seats[m.Worker]
+		s := &pl.workers[m.Worker]
 		s.free = s.free.Sub(j.Shape.Times(m.Count))
-		if b.view.Workers[m.Worker].Probe {
-			s.gangs = append(s.gangs, -1) // The probe is taken.
+		if pl.view.Workers[m.Worker].Probe {
+			s.gangs = append(s.gangs, -1) // One gang probes the worker; no other may start there.
 		}
 	}
-	b.charge(j, members)
-	b.used[j.Workspace] += j.Accelerators()
-	b.outcome.Decisions = append(b.outcome.Decisions, Decision{Kind: Start, Job: j.Key, Members: members, Reason: reason})
+	pl.charge(j, members)
+	pl.used[j.Workspace] += j.Accelerators()
+	pl.outcome.Decisions = append(pl.outcome.Decisions, Decision{Kind: Start, Job: j.Key, Members: members, Reason: reason})
 }
 
-// stop tells a running gang to leave, once.
-func (b *board) stop(i int, atOnce bool, beneficiary string, reason *Reason) {
-	if b.stopping[i] {
+// stop decides to preempt a running gang, unless it is stopping already.
+func (pl *planner) stop(i int, atOnce bool, beneficiary string, reason *Reason) {
+	if pl.stopping[i] {
 		return
 	}
-	b.stopping[i] = true
-	r := &b.view.Running[i]
-	b.used[r.Job.Workspace] -= r.Job.Accelerators()
+	pl.stopping[i] = true
+	r := &pl.view.Running[i]
+	pl.used[r.Job.Workspace] -= r.Job.Accelerators()
 	for _, m := range r.Members {
-		s := &b.seats[m.Worker]
+		s := &pl.workers[m.Worker]
 		s.leaving = s.leaving.Add(r.Job.Shape.Times(m.Count))
 	}
-	b.outcome.Decisions = append(b.outcome.Decisions, Decision{
+	pl.outcome.Decisions = append(pl.outcome.Decisions, Decision{
 		Kind: Stop, Job: r.Job.Key, AtOnce: atOnce, For: beneficiary, Reason: reason,
 	})
 }
 
-// wait notes why a job still waits.
-func (b *board) wait(index int, reason *Reason) {
-	b.outcome.Waits = append(b.outcome.Waits, Wait{Job: index, Reason: reason})
+// recordWait records the reason why a job still waits.
+func (pl *planner) recordWait(index int, reason *Reason) {
+	pl.outcome.Waits = append(pl.outcome.Waits, Wait{Job: index, Reason: reason})
 }
--- a/internal/decider/estimate.go
+++ b/internal/decider/estimate.go
@@ -5,17 +5,17 @@
 	"sync"
 )
 
-// Constants of the estimates.
+// Parameters of the run time estimates.
 const (
-	memory      = 0.98 // What a sample weighs after one more has come: about fifty samples count.
-	priorWeight = 4.0  // Samples that the declaration is worth before any run time is known.
-	priorSpread = 1.0  // Standard deviation of the logarithm of declared over true run times, to begin with.
-	minSeconds  = 1e-3
+	sampleDecay    = 0.98 // Factor on a sample's weight for each later sample; the total weight is at most 50 samples.
+	priorWeight    = 4.0  // Weight of the declared run time, in samples.
+	priorDeviation = 1.0  // Standard deviation of log(declared / true run time) without samples.
+	minSeconds     = 1e-3 // Lower bound of run times, so that their logarithm is finite.
 )
 
-// Estimates learns how long jobs of a workspace and kind run, and how much their declarations say about it; the zero
-// value is ready to use. It fits the logarithm of run times by a line over the logarithm of declared ones: where
-// declarations are noise the line is flat and the mean counts, where they are good it follows them.
+// Estimates predicts run times by workspace and kind of job. The zero value is ready to use. It fits a line to the
+// logarithm of the run time over the logarithm of the declared run time. If declarations are noise, the line is flat
+// and the prediction is the mean; if they are accurate, the prediction follows them.
 type Estimates struct {
 	mu   sync.Mutex
 	fits map[estimateKey]*lineFit
@@ -23,12 +23,13 @@
 
 type estimateKey struct{ workspace, kind string }
 
-// lineFit holds decayed sums over x, the logarithm of declared, and y, the logarithm of true run times.
+// lineFit holds decayed sums over x, the logarithm of the declared run time, and y, that of the true run time.
 type lineFit struct{ n, x, y, xx, xy, yy float64 }
 
+// add adds a sample and decays the earlier ones.
 func (f *lineFit) add(x, y float64) {
 	for _, sum := range []*float64{&f.n, &f.x, &f.y, &f.xx, &f.xy, &f.yy} {
-		*sum *= memory
+		*sum *= sampleDecay
 	}
 	f.n++
 	f.x += x
@@ -38,21 +39,21 @@
 	f.yy += y * y
 }
 
-// predict returns mean and standard deviation of y at x.
-func (f *lineFit) predict(x float64) (mean, spread float64) {
+// predict returns the mean and the standard deviation of y at x.
+func (f *lineFit) predict(x float64) (mean, deviation float64) {
 	meanX, meanY := f.x/f.n, f.y/f.n
 	varX := max(f.xx/f.n-meanX*meanX, 0)
 	varY := max(f.yy/f.n-meanY*meanY, 0)
 	cov := f.xy/f.n - meanX*meanY
 	slope := 0.0
 	if varX > 0 {
-		slope = min(max(cov/(varX+1/f.n), 0), 1) // The term 1/n draws the line flat while there are few samples.
+		slope = min(max(cov/(varX+1/f.n), 0), 1) // The term 1/n flattens the line while there are few samples.
 	}
-	rest := max(varY-slope*cov, 0) + 1/f.n
-	return meanY + slope*(x-meanX), math.Sqrt(rest)
+	variance := max(varY-slope*cov, 0) + 1/f.n
+	return meanY + slope*(x-meanX), math.Sqrt(variance)
 }
 
-// Observe adds the seconds that a job of a declared length ran to its end.
+// Observe records the declared and the true run time, in seconds, of a job that ran to its end.
 func (e *Estimates) Observe(workspace, kind string, declared, seconds float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,26 +68,27 @@
 	}
 }
 
-// normal holds the standard normal distribution's quantiles that the policies ask for.
-var normal = map[float64]float64{0.5: 0, 0.75: 0.674, 0.9: 1.282}
+// normalQuantiles holds the quantiles of the standard normal distribution that the policies use.
+var normalQuantiles = map[float64]float64{0.5: 0, 0.75: 0.674, 0.9: 1.282}
 
-// Quantile returns a quantile of a job's whole run time in seconds: 0.5, 0.75 or 0.9. With few samples the
-// declaration counts too, by the number of samples; without any it is all there is.
+// Quantile returns a quantile (q is 0.5, 0.75 or 0.9) of a job's whole run time in seconds. The fewer samples there
+// are, the more the declared run time counts; without samples only the declared run time is used.
 func (e *Estimates) Quantile(j *Job, q float64) float64 {
 	x := math.Log(max(j.DeclaredSeconds, minSeconds))
-	mean, spread := x, priorSpread
+	mean, deviation := x, priorDeviation
 	if e != nil {
 		if f := e.fit(j); f != nil {
-			learned, learnedSpread := f.predict(x)
+			learned, learnedDeviation := f.predict(x)
 			weight := f.n / (f.n + priorWeight)
 			mean = weight*learned + (1-weight)*x
-			spread = weight*learnedSpread + (1-weight)*priorSpread
+			deviation = weight*learnedDeviation + (1-weight)*priorDeviation
 		}
 	}
-	return max(math.Exp(mean+normal[q]*spread), minSeconds)
+	return max(math.Exp(mean+normalQuantiles[q]*deviation), minSeconds)
 }
 
-// fit returns a copy of the fit for a job: of its workspace and kind, or of the kind alone where that knows more.
+// fit returns a copy of the fit for the job's workspace and kind, or for its kind alone while the former has too few
+// samples. It returns nil if there are no samples.
 func (e *Estimates) fit(j *Job) *lineFit {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/decider/health.go
+++ b/internal/decider/health.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Limits of probation.
+// Limits of the probation of workers.
 const (
-	failuresToProbation = 2 // Different jobs that fail on a worker without a success between them.
-	firstProbation      = 30 * time.Second
-	longestProbation    = time.Hour
+	failuresToProbation = 2                // Different jobs that fail on a worker without a success in between.
+	firstProbation      = 30 * time.Second // Pause before the first probe of a worker.
+	longestProbation    = time.Hour        // Upper bound of the pause.
 )
 
-// Health tells bad workers from bad jobs; the zero value is ready to use. A failure counts against the worker
-// unless the job fails on other workers too that are in good standing, and against the job unless the worker fails
-// other jobs too.
+// Health distinguishes failing workers from failing jobs. The zero value is ready to use. A failure counts against the
+// worker unless the job also fails on other workers in good standing. It counts against the job unless the worker is on
+// probation. A worker is in good standing while it is not on probation.
 type Health struct {
 	workers map[string]*workerHealth
-	jobs    map[string]map[string]bool // The workers that each unfinished job failed on.
+	jobs    map[string]map[string]bool // Workers on which each unfinished job failed.
 }
 
+// workerHealth records the failures of a worker since its last success.
 type workerHealth struct {
-	failed    map[string]bool // Jobs that failed since the last success.
-	until     time.Time       // End of the pause.
-	pause     time.Duration
-	probation bool
+	failed     map[string]bool // Jobs that failed since the last success.
+	probeAfter time.Time       // When the worker may be probed.
+	pause      time.Duration   // Time without work before a probe; doubles when a probe fails.
+	probation  bool
 }
 
-// Succeeded notes that a member of a job ran to its end on a worker.
+// Succeeded records that a member of a job ran to its end on a worker.
 func (h *Health) Succeeded(worker, job string) {
 	delete(h.workers, worker)
 	delete(h.jobs, job)
 }
 
-// Forget drops what is known of a job that is settled as cancelled or given up.
+// Forget deletes the failures of a job that is settled as cancelled or failed.
 func (h *Health) Forget(job string) { delete(h.jobs, job) }
 
-// Failed notes that a member of a job failed on a worker.
+// Failed records that a member of a job failed on a worker.
 func (h *Health) Failed(worker, job string, now time.Time) {
 	if h.workers == nil {
 		h.workers = map[string]*workerHealth{}
@@ -52,26 +53,26 @@
 		h.jobs[job] = map[string]bool{}
 	}
 	h.jobs[job][worker] = true
-	h.judge(w, now)
+	h.updateProbation(w, now)
 }
 
-// judge starts, or after a failed probe prolongs, a worker's pause.
-func (h *Health) judge(w *workerHealth, now time.Time) {
-	if w.probation && now.Before(w.until) {
-		return // What was already under way when the pause began.
+// updateProbation puts a worker with too many failures on probation, and doubles the pause after a failed probe.
+func (h *Health) updateProbation(w *workerHealth, now time.Time) {
+	if w.probation && now.Before(w.probeAfter) {
+		return // The job was already running when the pause began.
 	}
-	if !w.probation && h.blame(w) < failuresToProbation {
+	if !w.probation && h.blamedFailures(w) < failuresToProbation {
 		return
 	}
 	if w.probation {
 		w.pause = min(2*w.pause, longestProbation)
 	}
 	w.probation = true
-	w.until = now.Add(w.pause)
+	w.probeAfter = now.Add(w.pause)
 }
 
-// blame counts the jobs that failed on the worker and on no other worker in good standing.
-func (h *Health) blame(w *workerHealth) int {
+// blamedFailures returns the number of jobs that failed on the worker and on no other worker in good standing.
+func (h *Health) blamedFailures(w *workerHealth) int {
 	count := 0
 	for job := range w.failed {
 		elsewhere := 0
@@ -87,16 +88,16 @@
 	return count
 }
 
-// Standing returns whether a worker may be used now, and whether only for one gang as a probe.
+// Standing reports whether a worker may be used now, and whether only for one gang as a probe.
 func (h *Health) Standing(worker string, now time.Time) (usable, probe bool) {
 	w := h.workers[worker]
 	if w == nil || !w.probation {
 		return true, false
 	}
-	return !now.Before(w.until), true
+	return !now.Before(w.probeAfter), true
 }
 
-// FailedOn returns the workers in good standing that a job failed on, sorted; those on probation don't count.
+// FailedOn returns the workers in good standing on which a job failed, sorted by name.
 func (h *Health) FailedOn(job string) []string {
 	var list []string
 	for name := range h.jobs[job] {
--- a/internal/decider/pulleyring.go
+++ b/internal/decider/pulleyring.go
@@ -8,45 +8,46 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// Pulleyring is the policy of the boxes; its zero value is ready to use.
+// Pulleyring is the policy that the boxes use. The zero value is ready to use.
 type Pulleyring struct{}
 
-// Name implements Policy.
+// Name returns the name of the policy.
 func (Pulleyring) Name() string { return "pulleyring" }
 
-// Decide implements Policy: guarantees first, then everything else by score, then racks for the large gangs.
+// Decide serves guaranteed jobs first, then all others in the order of their score. It reserves racks for large gangs
+// that do not fit.
 func (Pulleyring) Decide(v *View) Outcome {
-	b := newBoard(v)
-	rest := b.refuse()
-	rest = b.serveVacating(rest)
-	b.keepSetAsides(rest)
-	rest = b.serveCovered(rest)
+	pl := newPlanner(v)
+	rest := pl.rejectImpossible()
+	rest = pl.servePreempting(rest)
+	pl.keepRackReservations(rest)
+	rest = pl.serveGuaranteed(rest)
 	for _, workspace := range v.Claims {
-		b.claimWhole(workspace)
+		pl.reclaimWholePledge(workspace)
 	}
-	b.serveRest(rest)
-	return b.outcome
+	pl.serveRest(rest)
+	return pl.outcome
 }
 
-// refuse gives up what can never run and returns the indexes of the other waiting jobs.
-func (b *board) refuse() []int {
+// rejectImpossible fails the waiting jobs that can never run and returns the indexes of the others.
+func (pl *planner) rejectImpossible() []int {
 	var rest []int
-	possible := map[gangForm]bool{}
-	for i := range b.view.Waiting {
-		j := &b.view.Waiting[i]
-		form := gangForm{j.Gang, j.Shape}
-		fits, known := possible[form]
+	possible := map[gangRequest]bool{}
+	for i := range pl.view.Waiting {
+		j := &pl.view.Waiting[i]
+		request := gangRequest{j.Gang, j.Shape}
+		fits, known := possible[request]
 		if !known {
-			fits = b.everFits(j, nil)
-			possible[form] = fits
+			fits = pl.everFits(j, nil)
+			possible[request] = fits
 		}
 		switch {
 		case !fits:
-			b.giveUp(j, &Reason{Code: NeverFits})
-		case b.failsAlways(j):
-			b.giveUp(j, &Reason{Code: FailsAlways, Detail: join(j.FailedOn)})
+			pl.failJob(j, &Reason{Code: NeverFits})
+		case pl.failsAlways(j):
+			pl.failJob(j, &Reason{Code: FailsAlways, Detail: join(j.FailedOn)})
 		case j.Losses >= LossesToGiveUp:
-			b.giveUp(j, &Reason{Code: LosesWorkers})
+			pl.failJob(j, &Reason{Code: LosesWorkers})
 		default:
 			rest = append(rest, i)
 		}
@@ -54,35 +55,37 @@
 	return rest
 }
 
-// LossesToGiveUp is the number of attempts that lost a worker, as far as they count, after which a job is given up. Workers are also lost for reasons of
-// their own, and no loss here tells which it was, so it is the highest number of losses.md.
+// LossesToGiveUp is the number of counted attempts that lost a worker after which a job fails. Workers are also lost
+// for reasons unrelated to the job, and a loss does not show its cause, so the limit is high.
 const LossesToGiveUp = 5
 
-// gangForm is what decides whether a gang can ever fit.
-type gangForm struct {
+// gangRequest holds the request of a gang that determines whether it can ever fit.
+type gangRequest struct {
 	gang  int
 	shape contract.Shape
 }
 
-func (b *board) giveUp(j *Job, reason *Reason) {
-	b.outcome.Decisions = append(b.outcome.Decisions, Decision{Kind: GiveUp, Job: j.Key, Reason: reason})
+// failJob decides to fail a job.
+func (pl *planner) failJob(j *Job, reason *Reason) {
+	pl.outcome.Decisions = append(pl.outcome.Decisions, Decision{Kind: GiveUp, Job: j.Key, Reason: reason})
 }
 
-// failsAlways reports whether a job failed on so many healthy workers, or on so many of those that could hold it, that
-// no other try is worth it.
-func (b *board) failsAlways(j *Job) bool {
+// failsAlways reports whether a job failed on as many healthy workers as the site allows, or on so many that no rack
+// fits it without them.
+func (pl *planner) failsAlways(j *Job) bool {
 	if len(j.FailedOn) == 0 {
 		return false
 	}
-	return len(j.FailedOn) >= max(1, b.view.Site.GiveUpAfterWorkers) || !b.everFits(j, j.FailedOn)
+	return len(j.FailedOn) >= max(1, pl.view.Site.GiveUpAfterWorkers) || !pl.everFits(j, j.FailedOn)
 }
 
-// everFits reports whether a rack of the hall could hold the gang when empty, lost workers included and some left out.
-func (b *board) everFits(j *Job, without []string) bool {
-	for _, r := range b.view.Racks {
+// everFits reports whether an empty rack of the hall could fit the gang without the given workers. Lost and drained
+// workers count too.
+func (pl *planner) everFits(j *Job, without []string) bool {
+	for _, r := range pl.view.Racks {
 		room := 0
 		for _, k := range r.Workers {
-			if w := &b.view.Workers[k]; !slices.Contains(without, w.Name) {
+			if w := &pl.view.Workers[k]; !slices.Contains(without, w.Name) {
 				room += j.Shape.Copies(w.Capacity)
 			}
 		}
@@ -93,147 +96,149 @@
 	return false
 }
 
-// class is what makes waiting jobs alike for placement: where one finds no room, the others find none either.
-type class struct {
+// requestClass groups waiting jobs with the same request: if one of them finds no room, neither do the others.
+type requestClass struct {
 	workspace string
-	form      gangForm
-	lendable  bool
+	request   gangRequest
+	mayBorrow bool
 	urgent    bool
 }
 
-func classOf(j *Job) class {
-	return class{j.Workspace, gangForm{j.Gang, j.Shape}, j.Lendable(), j.Urgent}
+// requestClassOf returns the class of a waiting job.
+func requestClassOf(j *Job) requestClass {
+	return requestClass{j.Workspace, gangRequest{j.Gang, j.Shape}, j.Lendable(), j.Urgent}
 }
 
-// serveCovered starts or claims room for jobs within their workspace's guarantee and returns the others.
-func (b *board) serveCovered(indexes []int) []int {
-	sortCovered(b.view.Waiting, indexes)
+// serveGuaranteed starts guaranteed jobs or reclaims devices for them, and returns the indexes of the other jobs.
+func (pl *planner) serveGuaranteed(indexes []int) []int {
+	sortGuaranteed(pl.view.Waiting, indexes)
 	var rest []int
-	failed := map[class]bool{}
+	noRoom := map[requestClass]bool{}
 	for _, i := range indexes {
-		j := &b.view.Waiting[i]
-		if !b.covered(j) || b.overLimit(j) || failed[classOf(j)] && len(j.FailedOn) == 0 {
+		j := &pl.view.Waiting[i]
+		if !pl.withinPledge(j) || pl.overLimit(j) || noRoom[requestClassOf(j)] && len(j.FailedOn) == 0 {
 			rest = append(rest, i)
 			continue
 		}
-		if b.startCovered(j) || b.claim(i, j) {
+		if pl.startGuaranteed(j) || pl.reclaimPledge(i, j) {
 			continue
 		}
 		if len(j.FailedOn) == 0 {
-			failed[classOf(j)] = true
+			noRoom[requestClassOf(j)] = true
 		}
 		rest = append(rest, i)
 	}
 	return rest
 }
 
-// startCovered starts a covered job without stopping anyone: on its pledge, or where there is other room. On a rack that
-// is kept for another it starts only once it has been patient, or at once where it is urgent.
-func (b *board) startCovered(j *Job) bool {
-	if b.startOnPledge(j, b.kept) {
+// startGuaranteed starts a guaranteed job without preemption, on its pledge or on other free devices. A rack that is
+// reserved for another job is used only if the job is urgent or has waited long enough. It returns false if none fits.
+func (pl *planner) startGuaranteed(j *Job) bool {
+	if pl.startOnPledge(j, pl.reservedFor) {
 		return true
 	}
-	if j.Lendable() && b.startBest(j) {
+	if j.Lendable() && pl.startBest(j) {
 		return true
 	}
-	return (j.Urgent || b.age(j) >= b.claimPatience()) && b.startOnPledge(j, nil)
+	return (j.Urgent || pl.age(j) >= pl.reclaimWait()) && pl.startOnPledge(j, nil)
 }
 
-// overLimit reports whether the job would take its workspace over its limit.
-func (b *board) overLimit(j *Job) bool {
-	w := b.workspaces[j.Workspace]
-	return w == nil || w.LimitAccelerators > 0 && b.used[j.Workspace]+j.Accelerators() > w.LimitAccelerators
+// overLimit reports whether the job would exceed the limit of its workspace. A job of an unknown workspace does.
+func (pl *planner) overLimit(j *Job) bool {
+	w := pl.workspaces[j.Workspace]
+	return w == nil || w.LimitAccelerators > 0 && pl.used[j.Workspace]+j.Accelerators() > w.LimitAccelerators
 }
 
 // large reports whether a gang needs more accelerators than any single worker has.
-func (b *board) large(j *Job) bool { return j.Accelerators() > b.biggest }
+func (pl *planner) large(j *Job) bool { return j.Accelerators() > pl.largestWorker }
 
-// scored is a waiting job with its place in the order.
-type scored struct {
+// scoredJob is a waiting job and its score; higher scores are served first.
+type scoredJob struct {
 	index int
 	score float64
 }
 
-// serveRest starts what fits in the order of scores and sets racks aside for large gangs that don't fit.
-func (b *board) serveRest(indexes []int) {
-	order := b.score(indexes)
-	failed := map[class]*Reason{}
+// serveRest starts the jobs that fit, in the order of their score, and reserves racks for large gangs that do not fit.
+func (pl *planner) serveRest(indexes []int) {
+	order := pl.sortByScore(indexes)
+	noRoom := map[requestClass]*Reason{}
 	for _, s := range order {
-		j := &b.view.Waiting[s.index]
-		if b.overLimit(j) {
-			b.wait(s.index, &Reason{Code: OverLimit, Who: j.Workspace})
+		j := &pl.view.Waiting[s.index]
+		if pl.overLimit(j) {
+			pl.recordWait(s.index, &Reason{Code: OverLimit, Who: j.Workspace})
 			continue
 		}
-		c := classOf(j)
-		if reason := failed[c]; reason != nil && len(j.FailedOn) == 0 && !b.large(j) {
-			b.wait(s.index, reason)
+		c := requestClassOf(j)
+		if reason := noRoom[c]; reason != nil && len(j.FailedOn) == 0 && !pl.large(j) {
+			pl.recordWait(s.index, reason)
 			continue
 		}
-		if b.startBest(j) {
+		if pl.startBest(j) {
 			continue
 		}
-		reason := b.noRoom(j)
-		if b.large(j) {
-			reason = b.setAside(j, reason)
+		reason := pl.noRoomReason(j)
+		if pl.large(j) {
+			reason = pl.makeRoom(j, reason)
 		}
 		if len(j.FailedOn) == 0 {
-			failed[c] = reason
+			noRoom[c] = reason
 		}
-		b.wait(s.index, reason)
+		pl.recordWait(s.index, reason)
 	}
 }
 
-// score orders jobs by the ratio of wait to expected run time, so that short work goes first and nothing waits for
-// ever; a workspace that uses more for its share goes later, and large gangs gain weight where fragmentation matters.
-func (b *board) score(indexes []int) []scored {
+// sortByScore sorts jobs by the ratio of wait to expected work (run time times accelerators), so that short jobs go
+// first and none starves. Jobs of workspaces that use more than their share go later. Large gangs gain the more weight,
+// the less weight the site gives to completion time.
+func (pl *planner) sortByScore(indexes []int) []scoredJob {
 	total := 1.0
-	for i := range b.view.Workers {
-		total += float64(b.view.Workers[i].Capacity.Accelerators)
+	for i := range pl.view.Workers {
+		total += float64(pl.view.Workers[i].Capacity.Accelerators)
 	}
-	weight := b.view.Site.CompletionWeight
+	weight := pl.view.Site.CompletionWeight
 	shares := map[string]float64{}
-	for _, w := range b.view.Site.Workspaces {
+	for _, w := range pl.view.Site.Workspaces {
 		shares[w.Name] = max(w.Share, 1e-6)
 	}
-	order := make([]scored, 0, len(indexes))
+	order := make([]scoredJob, 0, len(indexes))
 	for _, i := range indexes {
-		j := &b.view.Waiting[i]
-		left := max(b.view.Estimates.Quantile(j, 0.5)-j.Done, 1)
-		area := left * float64(max(j.Accelerators(), 1))
-		ratio := (b.age(j).Seconds() + area) / area
+		j := &pl.view.Waiting[i]
+		left := max(pl.view.Estimates.Quantile(j, 0.5)-j.Done, 1)
+		work := left * float64(max(j.Accelerators(), 1))
+		ratio := (pl.age(j).Seconds() + work) / work
 		size := math.Pow(float64(max(j.Accelerators(), 1)), 1-weight)
-		use := float64(b.used[j.Workspace]) / total / max(shares[j.Workspace], 1e-6)
-		order = append(order, scored{i, ratio * size / (1 + use)})
+		use := float64(pl.used[j.Workspace]) / total / max(shares[j.Workspace], 1e-6)
+		order = append(order, scoredJob{i, ratio * size / (1 + use)})
 	}
-	slices.SortFunc(order, func(x, y scored) int {
-		p, q := &b.view.Waiting[x.index], &b.view.Waiting[y.index]
+	slices.SortFunc(order, func(x, y scoredJob) int {
+		p, q := &pl.view.Waiting[x.index], &pl.view.Waiting[y.index]
 		return cmp.Or(cmp.Compare(y.score, x.score), p.Arrived.Compare(q.Arrived), cmp.Compare(p.Key, q.Key))
 	})
 	return order
 }
 
-// startBest starts a job on the fullest rack that takes it, racks kept for large gangs left out unless it should end in
-// time there.
-func (b *board) startBest(j *Job) bool {
-	rack, members := b.fullestRack(j, b.roomFor(j), b.kept)
+// startBest starts a job on the fullest rack that fits it. A rack reserved for a large gang is used only if the job
+// should end before that gang can start. It returns false if no rack fits.
+func (pl *planner) startBest(j *Job) bool {
+	rack, members := pl.fullestRack(j, pl.roomFor(j), pl.reservedFor)
 	if members == nil {
-		return b.backfill(j)
+		return pl.backfill(j)
 	}
-	b.start(j, members, &Reason{Code: Fits, Rack: b.view.Racks[rack].Name})
-	b.release(j.Key)
+	pl.start(j, members, &Reason{Code: Fits, Rack: pl.view.Racks[rack].Name})
+	pl.releaseRack(j.Key)
 	return true
 }
 
-// fullestRack returns the rack with the least free accelerators that takes the gang, and how it would be laid there.
-// A rack kept for another job is passed over.
-func (b *board) fullestRack(j *Job, room func(int) contract.Shape, kept []string) (int, []Member) {
+// fullestRack returns the rack with the fewest free accelerators that fits the gang, and the placement of its members.
+// It skips racks reserved for other jobs. Members are nil if no rack fits.
+func (pl *planner) fullestRack(j *Job, room func(int) contract.Shape, reservedFor []string) (int, []Member) {
 	type candidate struct{ rack, accelerators, cpus int }
-	candidates := make([]candidate, 0, len(b.view.Racks))
-	for r := range b.view.Racks {
-		if kept != nil && kept[r] != "" && kept[r] != j.Key {
+	candidates := make([]candidate, 0, len(pl.view.Racks))
+	for r := range pl.view.Racks {
+		if reservedFor != nil && reservedFor[r] != "" && reservedFor[r] != j.Key {
 			continue
 		}
-		free := b.rackFree(r)
+		free := pl.rackFree(r)
 		if free.Accelerators < j.Accelerators() {
 			continue
 		}
@@ -243,38 +248,40 @@
 		return cmp.Or(cmp.Compare(x.accelerators, y.accelerators), cmp.Compare(x.cpus, y.cpus), cmp.Compare(x.rack, y.rack))
 	})
 	for _, c := range candidates {
-		if members := b.spread(c.rack, j, room); members != nil {
+		if members := pl.spread(c.rack, j, room); members != nil {
 			return c.rack, members
 		}
 	}
 	return 0, nil
 }
 
-func (b *board) rackFree(rack int) contract.Shape {
+// rackFree returns the free capacity of the usable workers of a rack.
+func (pl *planner) rackFree(rack int) contract.Shape {
 	var sum contract.Shape
-	for _, k := range b.view.Racks[rack].Workers {
-		if b.view.Workers[k].Usable {
-			sum = sum.Add(b.seats[k].free)
+	for _, k := range pl.view.Racks[rack].Workers {
+		if pl.view.Workers[k].Usable {
+			sum = sum.Add(pl.workers[k].free)
 		}
 	}
 	return sum
 }
 
-// noRoom finds out whether there is no room at all, or room that the job may not take.
-func (b *board) noRoom(j *Job) *Reason {
-	for rack := range b.view.Racks {
-		if b.spread(rack, j, b.freeRoom) == nil {
+// noRoomReason returns why a job does not fit: no free capacity, or only capacity that it may not use.
+func (pl *planner) noRoomReason(j *Job) *Reason {
+	for rack := range pl.view.Racks {
+		if pl.spread(rack, j, pl.freeRoom) == nil {
 			continue
 		}
-		name := b.view.Racks[rack].Name
-		if b.kept[rack] != "" && b.kept[rack] != j.Key {
-			return &Reason{Code: KeptForOthers, Rack: name, Who: b.kept[rack]}
+		name := pl.view.Racks[rack].Name
+		if pl.reservedFor[rack] != "" && pl.reservedFor[rack] != j.Key {
+			return &Reason{Code: ReservedForOthers, Rack: name, Who: pl.reservedFor[rack]}
 		}
-		return &Reason{Code: NotLendable, Rack: name}
+		return &Reason{Code: OnlyReclaimable, Rack: name}
 	}
 	return &Reason{Code: NoRoom}
 }
 
+// join joins words with commas.
 func join(words []string) string {
 	text := ""
 	for i, w := range words {
--- a/internal/decider/setaside.go
+++ b/internal/decider/setaside.go
@@ -10,159 +10,163 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// setAsideShare bounds the racks that are set aside at once, as a share of all, where fragmentation is all that counts.
-const setAsideShare = 0.4
+// maxReservedRackShare is the largest share of the racks that may be reserved at once if completion time has no weight.
+const maxReservedRackShare = 0.4
 
-// plansPerPass bounds the large gangs for which a pass looks for work to stop; the others wait for the next pass.
-const plansPerPass = 6
+// maxPlansPerPass is the number of large gangs for which a pass plans preemptions; the others wait for the next pass.
+const maxPlansPerPass = 6
 
-// mostSetAsides returns how many racks may be set aside at once: fewer the more completion time counts, because a rack
-// that drains serves nobody meanwhile.
-func (b *board) mostSetAsides() int {
-	share := setAsideShare * (1 - b.view.Site.CompletionWeight)
-	return max(1, len(b.view.Racks)/3, int(math.Round(share*float64(len(b.view.Racks)))))
+// maxReservedRacks returns how many racks may be reserved at once. The more completion time counts, the fewer they are,
+// because a reserved rack is partly idle until its gang starts.
+func (pl *planner) maxReservedRacks() int {
+	share := maxReservedRackShare * (1 - pl.view.Site.CompletionWeight)
+	return max(1, len(pl.view.Racks)/3, int(math.Round(share*float64(len(pl.view.Racks)))))
 }
 
-// serveVacating starts the gangs for which racks were vacated, or takes what has come free for them so far, and returns
-// the other jobs.
-func (b *board) serveVacating(indexes []int) []int {
-	racks := map[string]SetAside{}
-	for _, s := range b.view.SetAsides {
-		if s.Vacating {
-			racks[s.Job] = s
+// servePreempting starts the gangs for which others were preempted, or keeps their devices reserved. It returns the
+// indexes of the other jobs.
+func (pl *planner) servePreempting(indexes []int) []int {
+	reservations := map[string]SetAside{}
+	for _, s := range pl.view.SetAsides {
+		if s.Preempting {
+			reservations[s.Job] = s
 		}
 	}
-	if len(racks) == 0 {
+	if len(reservations) == 0 {
 		return indexes
 	}
 	rest := indexes[:0]
 	for _, i := range indexes {
-		j := &b.view.Waiting[i]
-		s, vacating := racks[j.Key]
-		if !vacating || b.overLimit(j) || !b.serveVacated(i, j, s) {
+		j := &pl.view.Waiting[i]
+		s, preempting := reservations[j.Key]
+		if !preempting || pl.overLimit(j) || !pl.serveOnPreemptedRack(i, j, s) {
 			rest = append(rest, i)
 		}
 	}
 	return rest
 }
 
-// serveVacated serves one of them and reports whether its rack still has or will have the room.
-func (b *board) serveVacated(index int, j *Job, s SetAside) bool {
-	name := b.view.Racks[s.Rack].Name
+// serveOnPreemptedRack starts a gang for which others were preempted, or keeps its devices reserved. It returns false
+// if the rack cannot fit it any more.
+func (pl *planner) serveOnPreemptedRack(index int, j *Job, s SetAside) bool {
+	name := pl.view.Racks[s.Rack].Name
 	room := func(int) contract.Shape {
 		return contract.Shape{CPUs: contract.MaxCopies, MemoryGB: contract.MaxCopies, Accelerators: contract.MaxCopies}
 	}
-	code, waits := Fits, AwaitsRack
+	code, waitCode := Fits, AwaitsRack
 	switch {
 	case s.Pledged:
-		room = b.unusedPledge(j.Workspace)
-		code, waits = Guaranteed, AwaitsReclaim
+		room = pl.unusedPledge(j.Workspace)
+		code, waitCode = Guaranteed, AwaitsReclaim
 	case !j.Lendable():
-		room = func(worker int) contract.Shape { return b.firmRoom(worker, j) }
+		room = func(worker int) contract.Shape { return pl.unreclaimable(worker, j) }
 	}
-	now := b.spread(s.Rack, j, func(worker int) contract.Shape { return meet(room(worker), b.seats[worker].free) })
+	now := pl.spread(s.Rack, j, func(worker int) contract.Shape { return minShape(room(worker), pl.workers[worker].free) })
 	if now != nil {
-		b.start(j, now, &Reason{Code: code, Rack: name, Detail: "vacated for it"})
+		pl.start(j, now, &Reason{Code: code, Rack: name, Detail: "vacated for it"})
 		return true
 	}
-	soon := b.spread(s.Rack, j, func(worker int) contract.Shape {
-		return meet(room(worker), b.seats[worker].free.Add(b.seats[worker].leaving))
+	soon := pl.spread(s.Rack, j, func(worker int) contract.Shape {
+		return minShape(room(worker), pl.workers[worker].free.Add(pl.workers[worker].leaving))
 	})
 	if soon == nil {
 		return false
 	}
-	b.reserve(j, soon)
-	b.outcome.SetAsides = append(b.outcome.SetAsides, s)
-	b.wait(index, &Reason{Code: waits, Rack: name, Detail: "work that can be stopped is leaving it"})
+	pl.reserveDevices(j, soon)
+	pl.outcome.SetAsides = append(pl.outcome.SetAsides, s)
+	pl.recordWait(index, &Reason{Code: waitCode, Rack: name, Detail: "work that can be stopped is leaving it"})
 	return true
 }
 
-// keepSetAsides carries over the racks that are set aside for jobs that still wait.
-func (b *board) keepSetAsides(indexes []int) {
+// keepRackReservations carries over the reservations of racks for jobs that still wait.
+func (pl *planner) keepRackReservations(indexes []int) {
 	waiting := make(map[string]bool, len(indexes))
 	for _, i := range indexes {
-		waiting[b.view.Waiting[i].Key] = true
+		waiting[pl.view.Waiting[i].Key] = true
 	}
-	for _, s := range b.view.SetAsides {
-		if s.Vacating || !waiting[s.Job] || s.Rack >= len(b.kept) || b.kept[s.Rack] != "" {
+	for _, s := range pl.view.SetAsides {
+		if s.Preempting || !waiting[s.Job] || s.Rack >= len(pl.reservedFor) || pl.reservedFor[s.Rack] != "" {
 			continue
 		}
-		b.kept[s.Rack] = s.Job
-		b.outcome.SetAsides = append(b.outcome.SetAsides, s)
+		pl.reservedFor[s.Rack] = s.Job
+		pl.outcome.SetAsides = append(pl.outcome.SetAsides, s)
 	}
 }
 
-// release gives back the rack set aside for a job.
-func (b *board) release(job string) {
-	b.outcome.SetAsides = slices.DeleteFunc(b.outcome.SetAsides, func(s SetAside) bool {
-		if s.Job != job || s.Vacating {
+// releaseRack ends the reservation of a rack for a job, unless gangs were preempted for it.
+func (pl *planner) releaseRack(job string) {
+	pl.outcome.SetAsides = slices.DeleteFunc(pl.outcome.SetAsides, func(s SetAside) bool {
+		if s.Job != job || s.Preempting {
 			return false
 		}
-		b.kept[s.Rack] = ""
+		pl.reservedFor[s.Rack] = ""
 		return true
 	})
 }
 
-// setAside makes room for a large gang that does not fit. A rack is kept for it, which drains by itself; once the gang has
-// waited long enough for what that costs others, the work that can be stopped leaves too.
-func (b *board) setAside(j *Job, otherwise *Reason) *Reason {
-	if b.patience(j) <= 0 || b.plans >= plansPerPass {
-		return b.keepRack(j, otherwise)
+// makeRoom makes room for a large gang that does not fit, and returns why the gang waits. At first it reserves a rack
+// and waits for the gangs there to end. It preempts gangs once the large gang has waited long enough for their loss.
+// It returns the reason otherwise if no rack can be reserved.
+func (pl *planner) makeRoom(j *Job, otherwise *Reason) *Reason {
+	if pl.lossLimit(j) <= 0 || pl.plannedGangs >= maxPlansPerPass {
+		return pl.reserveRack(j, otherwise)
 	}
-	b.plans++
-	p := b.cheapestPlan(j, b.emptyRoom(j), b.vacatable)
-	if p == nil || p.cost > b.patience(j) {
-		return b.keepRack(j, otherwise)
+	pl.plannedGangs++
+	p := pl.cheapestPlan(j, pl.preemptibleRoom(j), pl.preemptible)
+	if p == nil || p.cost > pl.lossLimit(j) {
+		return pl.reserveRack(j, otherwise)
 	}
-	b.release(j.Key)
-	name := b.view.Racks[p.rack].Name
+	pl.releaseRack(j.Key)
+	name := pl.view.Racks[p.rack].Name
 	for _, i := range p.victims {
-		b.stop(i, false, j.Key, &Reason{Code: VacatedFor, Rack: name, Who: j.Key})
+		pl.stop(i, false, j.Key, &Reason{Code: VacatedFor, Rack: name, Who: j.Key})
 	}
-	b.reserve(j, p.members)
-	b.outcome.SetAsides = append(b.outcome.SetAsides, SetAside{Job: j.Key, Rack: p.rack, Since: b.view.Now, Vacating: true})
+	pl.reserveDevices(j, p.members)
+	pl.outcome.SetAsides = append(pl.outcome.SetAsides, SetAside{Job: j.Key, Rack: p.rack, Since: pl.view.Now, Preempting: true})
 	return &Reason{Code: AwaitsRack, Rack: name, Detail: "work that can be stopped is leaving it"}
 }
 
-// patience returns the accelerator-seconds that others may lose for a waiting gang: what it has waited itself.
-func (b *board) patience(j *Job) float64 {
-	waited := b.age(j) - time.Duration(b.view.Site.SetAsideSeconds)*time.Second
+// lossLimit returns how many accelerator-seconds of work may be lost for a waiting gang: its accelerators times its
+// wait beyond SetAsideSeconds of the site. It returns -1 until then.
+func (pl *planner) lossLimit(j *Job) float64 {
+	waited := pl.age(j) - time.Duration(pl.view.Site.SetAsideSeconds)*time.Second
 	if waited <= 0 {
 		return -1
 	}
 	return waited.Seconds() * float64(j.Accelerators())
 }
 
-// vacatable reports whether a running gang may be stopped for one that no guarantee covers.
-func (b *board) vacatable(i int) bool {
-	r := &b.view.Running[i]
-	return b.charges[i] == borrowed && r.Job.Lendable() && r.Job.Stops < keptStops && !b.large(&r.Job)
+// preemptible reports whether a running gang may be preempted for a large gang without a guarantee.
+func (pl *planner) preemptible(i int) bool {
+	r := &pl.view.Running[i]
+	return pl.charges[i] == borrowed && r.Job.Lendable() && r.Job.Stops < maxPreemptions && !pl.large(&r.Job)
 }
 
-// emptyRoom offers workers as if everything that may be stopped were gone, racks kept for others left out. A gang that
-// can't be stopped itself is offered only what can't be claimed back.
-func (b *board) emptyRoom(j *Job) func(worker int) contract.Shape {
+// preemptibleRoom returns the function that gives the capacity of a worker if all preemptible gangs were stopped: none
+// on racks reserved for other jobs, and only unreclaimable devices for a gang that cannot be stopped.
+func (pl *planner) preemptibleRoom(j *Job) func(worker int) contract.Shape {
 	return func(worker int) contract.Shape {
-		w := &b.view.Workers[worker]
-		if kept := b.kept[w.Rack]; kept != "" && kept != j.Key {
+		w := &pl.view.Workers[worker]
+		if reservedFor := pl.reservedFor[w.Rack]; reservedFor != "" && reservedFor != j.Key {
 			return contract.Shape{}
 		}
-		s := &b.seats[worker]
+		s := &pl.workers[worker]
 		room := s.free.Add(s.leaving)
 		for _, i := range s.gangs {
-			if i >= 0 && !b.stopping[i] && b.vacatable(i) {
-				room = room.Add(b.heldBy(i, worker))
+			if i >= 0 && !pl.stopping[i] && pl.preemptible(i) {
+				room = room.Add(pl.heldBy(i, worker))
 			}
 		}
 		if j.Lendable() {
 			return room
 		}
-		return meet(b.firmRoom(worker, j), room)
+		return minShape(pl.unreclaimable(worker, j), room)
 	}
 }
 
-func (b *board) heldBy(i, worker int) contract.Shape {
-	r := &b.view.Running[i]
+// heldBy returns what a running gang uses on a worker.
+func (pl *planner) heldBy(i, worker int) contract.Shape {
+	r := &pl.view.Running[i]
 	for _, m := range r.Members {
 		if m.Worker == worker {
 			return r.Job.Shape.Times(m.Count)
@@ -171,138 +175,141 @@
 	return contract.Shape{}
 }
 
-// keepRack sets the rack aside that should be free for the gang the soonest.
-func (b *board) keepRack(j *Job, otherwise *Reason) *Reason {
+// reserveRack reserves the rack that should have room for the gang first, and returns why the gang waits. It returns
+// the reason otherwise if no rack can be reserved.
+func (pl *planner) reserveRack(j *Job, otherwise *Reason) *Reason {
 	count := 0
-	for _, s := range b.outcome.SetAsides {
+	for _, s := range pl.outcome.SetAsides {
 		if s.Job == j.Key {
-			return b.keptReason(s)
+			return pl.reservedReason(s)
 		}
-		if !s.Vacating {
+		if !s.Preempting {
 			count++
 		}
 	}
-	if count >= b.mostSetAsides() {
+	if count >= pl.maxReservedRacks() {
 		return otherwise
 	}
 	best, soonest := -1, math.Inf(1)
-	for rack := range b.view.Racks {
-		if b.kept[rack] != "" {
+	for rack := range pl.view.Racks {
+		if pl.reservedFor[rack] != "" {
 			continue
 		}
-		if t := b.vacated(rack, j); t < soonest {
+		if t := pl.secondsUntilFits(rack, j); t < soonest {
 			best, soonest = rack, t
 		}
 	}
 	if best < 0 {
 		return otherwise
 	}
-	s := SetAside{Job: j.Key, Rack: best, Since: b.view.Now}
-	b.kept[best] = j.Key
-	b.outcome.SetAsides = append(b.outcome.SetAsides, s)
-	return b.keptReason(s)
+	s := SetAside{Job: j.Key, Rack: best, Since: pl.view.Now}
+	pl.reservedFor[best] = j.Key
+	pl.outcome.SetAsides = append(pl.outcome.SetAsides, s)
+	return pl.reservedReason(s)
 }
 
-func (b *board) keptReason(s SetAside) *Reason {
-	waited := b.view.Now.Sub(s.Since).Truncate(time.Second)
-	return &Reason{Code: AwaitsRack, Rack: b.view.Racks[s.Rack].Name, Detail: fmt.Sprintf("set aside for %s", waited)}
+// reservedReason returns the reason of a gang that waits for its reserved rack.
+func (pl *planner) reservedReason(s SetAside) *Reason {
+	waited := pl.view.Now.Sub(s.Since).Truncate(time.Second)
+	return &Reason{Code: AwaitsRack, Rack: pl.view.Racks[s.Rack].Name, Detail: fmt.Sprintf("set aside for %s", waited)}
 }
 
-// departure is a running gang's expected end and what it frees in a rack.
-type departure struct {
+// expectedEnd is the expected end of a running gang, in seconds from now, and the accelerators that it frees.
+type expectedEnd struct {
 	seconds      float64
 	accelerators int
 }
 
-// vacated returns the seconds after which a rack should have room for the gang, by the medians of what runs there;
-// infinity where it never will.
-func (b *board) vacated(rack int, j *Job) float64 {
+// secondsUntilFits returns the seconds after which a rack should have room for the gang, by the median estimates of the
+// gangs that run there. It returns infinity if the usable workers are too small.
+func (pl *planner) secondsUntilFits(rack int, j *Job) float64 {
 	free := 0
 	capacity := 0
 	seen := map[int]bool{}
-	var list []departure
-	for _, k := range b.view.Racks[rack].Workers {
-		if !b.usable(k, j) {
+	var ends []expectedEnd
+	for _, k := range pl.view.Racks[rack].Workers {
+		if !pl.usable(k, j) {
 			continue
 		}
-		capacity += j.Shape.Copies(b.view.Workers[k].Capacity)
-		free += b.seats[k].free.Accelerators + b.seats[k].leaving.Accelerators
-		for _, i := range b.seats[k].gangs {
-			if i >= 0 && !seen[i] && !b.stopping[i] {
+		capacity += j.Shape.Copies(pl.view.Workers[k].Capacity)
+		free += pl.workers[k].free.Accelerators + pl.workers[k].leaving.Accelerators
+		for _, i := range pl.workers[k].gangs {
+			if i >= 0 && !seen[i] && !pl.stopping[i] {
 				seen[i] = true
-				list = append(list, departure{b.remaining(i, 0.5), b.view.Running[i].Job.Accelerators()})
+				ends = append(ends, expectedEnd{pl.remainingSeconds(i, 0.5), pl.view.Running[i].Job.Accelerators()})
 			}
 		}
 	}
 	if capacity < j.Gang {
 		return math.Inf(1)
 	}
-	slices.SortFunc(list, func(x, y departure) int { return cmp.Compare(x.seconds, y.seconds) })
+	slices.SortFunc(ends, func(x, y expectedEnd) int { return cmp.Compare(x.seconds, y.seconds) })
 	need := j.Accelerators()
-	for _, d := range list {
+	for _, e := range ends {
 		if free >= need {
 			break
 		}
-		free += d.accelerators
+		free += e.accelerators
 		if free >= need {
-			return d.seconds
+			return e.seconds
 		}
 	}
 	return 0
 }
 
-// remaining returns the seconds that a running gang should still need; one that has outlived its estimate is taken
-// to need as long again as it has run.
-func (b *board) remaining(i int, quantile float64) float64 {
-	r := &b.view.Running[i]
-	ran := b.view.Now.Sub(r.Started).Seconds()
-	left := b.view.Estimates.Quantile(&r.Job, quantile) - r.Job.Done - ran
+// remainingSeconds returns the estimated remaining run time of a gang in seconds. If the gang has exceeded its
+// estimate, it is assumed to run as long again as it has run so far.
+func (pl *planner) remainingSeconds(i int, quantile float64) float64 {
+	r := &pl.view.Running[i]
+	ran := pl.view.Now.Sub(r.Started).Seconds()
+	left := pl.view.Estimates.Quantile(&r.Job, quantile) - r.Job.Done - ran
 	if left <= 0 {
 		return ran
 	}
 	return left
 }
 
-// backfill starts a job on a rack kept for a large gang where it should be gone before the rack is free; only work that
-// can be stopped is let in, so that a wrong estimate costs the waiting gang little.
-func (b *board) backfill(j *Job) bool {
-	if !j.Lendable() || j.Stops >= keptStops || b.large(j) {
+// backfill starts a job on a rack reserved for a large gang if the job should end before the rack is free. Only jobs
+// that can be preempted qualify, so that a wrong estimate delays the large gang little. It returns false if no rack
+// fits.
+func (pl *planner) backfill(j *Job) bool {
+	if !j.Lendable() || j.Stops >= maxPreemptions || pl.large(j) {
 		return false
 	}
-	length := b.view.Estimates.Quantile(j, 0.9) - j.Done
-	for _, s := range b.outcome.SetAsides {
-		if s.Vacating || s.Job == j.Key || length > b.vacatedFor(s) {
+	length := pl.view.Estimates.Quantile(j, 0.9) - j.Done
+	for _, s := range pl.outcome.SetAsides {
+		if s.Preempting || s.Job == j.Key || length > pl.readySeconds(s) {
 			continue
 		}
-		if members := b.spread(s.Rack, j, b.freeRoom); members != nil {
-			b.start(j, members, &Reason{Code: Backfilled, Rack: b.view.Racks[s.Rack].Name, Who: s.Job})
+		if members := pl.spread(s.Rack, j, pl.freeRoom); members != nil {
+			pl.start(j, members, &Reason{Code: Backfilled, Rack: pl.view.Racks[s.Rack].Name, Who: s.Job})
 			return true
 		}
 	}
 	return false
 }
 
-// vacatedFor returns the seconds after which a kept rack should have room for its gang, worked out once in a pass.
-func (b *board) vacatedFor(s SetAside) float64 {
-	if t, known := b.vacatedAt[s.Job]; known {
+// readySeconds returns the seconds after which a reserved rack should have room for its gang, computed once in a pass.
+func (pl *planner) readySeconds(s SetAside) float64 {
+	if t, known := pl.secondsUntilReady[s.Job]; known {
 		return t
 	}
 	t := 0.0
-	if j := b.waitingJob(s.Job); j != nil {
-		t = b.vacated(s.Rack, j)
+	if j := pl.waitingJob(s.Job); j != nil {
+		t = pl.secondsUntilFits(s.Rack, j)
 	}
-	if b.vacatedAt == nil {
-		b.vacatedAt = map[string]float64{}
+	if pl.secondsUntilReady == nil {
+		pl.secondsUntilReady = map[string]float64{}
 	}
-	b.vacatedAt[s.Job] = t
+	pl.secondsUntilReady[s.Job] = t
 	return t
 }
 
-// waitingJob returns the waiting job of a key, or nil.
-func (b *board) waitingJob(key string) *Job {
-	for i := range b.view.Waiting {
-		if b.view.Waiting[i].Key == key {
-			return &b.view.Waiting[i]
+// waitingJob returns the waiting job with the key, or nil.
+func (pl *planner) waitingJob(key string) *Job {
+	for i := range pl.view.Waiting {
+		if pl.view.Waiting[i].Key == key {
+			return &pl.view.Waiting[i]
 		}
 	}
 	return nil
--- a/internal/decider/spread.go
+++ b/internal/decider/spread.go
@@ -6,27 +6,27 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// spot is a worker with the number of members that it could take.
-type spot struct {
+// workerOffer records how many members of a gang one worker can take.
+type workerOffer struct {
 	worker int
 	copies int
 	room   contract.Shape
 }
 
-// spread lays a gang onto the workers of a rack: the fewest workers, and the last part where it fits most tightly.
-// It returns nil where the whole gang does not fit. Room gives what each worker offers.
-func (b *board) spread(rack int, j *Job, room func(worker int) contract.Shape) []Member {
-	var stack [16]spot
-	spots := stack[:0]
+// spread places a gang on the workers of a rack: on as few workers as possible, and the last part where it leaves the
+// least free capacity. It returns nil if the whole gang does not fit. Room returns the capacity that a worker offers.
+func (pl *planner) spread(rack int, j *Job, room func(worker int) contract.Shape) []Member {
+	var buffer [16]workerOffer
+	offers := buffer[:0]
 	total := 0
-	for _, k := range b.view.Racks[rack].Workers {
-		if !b.usable(k, j) {
+	for _, k := range pl.view.Racks[rack].Workers {
+		if !pl.usable(k, j) {
 			continue
 		}
-		offer := room(k)
-		n := min(j.Shape.Copies(offer), j.Gang)
+		free := room(k)
+		n := min(j.Shape.Copies(free), j.Gang)
 		if n > 0 {
-			spots = append(spots, spot{k, n, offer})
+			offers = append(offers, workerOffer{k, n, free})
 			total += n
 		}
 	}
@@ -36,27 +36,29 @@
 	var members []Member
 	left := j.Gang
 	for left > 0 {
-		i := tightest(spots, left)
-		n := min(spots[i].copies, left)
-		members = append(members, Member{Worker: spots[i].worker, Count: n})
+		i := tightestOffer(offers, left)
+		n := min(offers[i].copies, left)
+		members = append(members, Member{Worker: offers[i].worker, Count: n})
 		left -= n
-		spots = slices.Delete(spots, i, i+1)
+		offers = slices.Delete(offers, i, i+1)
 	}
 	return members
 }
 
-// tightest returns the spot that takes all that is left with the least room over, else the one that takes the most.
-func tightest(spots []spot, left int) int {
+// tightestOffer returns the index of the smallest offer that takes all remaining members, or else of the one that takes
+// most.
+func tightestOffer(offers []workerOffer, left int) int {
 	best := 0
-	for i := 1; i < len(spots); i++ {
-		if better(spots[i], spots[best], left) {
+	for i := 1; i < len(offers); i++ {
+		if betterOffer(offers[i], offers[best], left) {
 			best = i
 		}
 	}
 	return best
 }
 
-func better(x, y spot, left int) bool {
+// betterOffer reports whether x suits the remaining members better than y.
+func betterOffer(x, y workerOffer, left int) bool {
 	xAll, yAll := x.copies >= left, y.copies >= left
 	if xAll != yAll {
 		return xAll
@@ -70,14 +72,14 @@
 	return x.room.CPUs < y.room.CPUs
 }
 
-// freeRoom offers what is free now.
-func (b *board) freeRoom(worker int) contract.Shape { return b.seats[worker].free }
+// freeRoom returns the free capacity of a worker.
+func (pl *planner) freeRoom(worker int) contract.Shape { return pl.workers[worker].free }
 
-// roomFor returns what workers offer a job beyond its guarantee: everything free, or only what can't be claimed back
-// where the job may not be stopped.
-func (b *board) roomFor(j *Job) func(worker int) contract.Shape {
+// roomFor returns the function that gives the capacity of a worker for a job beyond its guarantee: all free devices, or
+// only those that cannot be reclaimed if the job must not be stopped.
+func (pl *planner) roomFor(j *Job) func(worker int) contract.Shape {
 	if j.Lendable() {
-		return b.freeRoom
+		return pl.freeRoom
 	}
-	return func(worker int) contract.Shape { return b.firm(worker, j) }
+	return func(worker int) contract.Shape { return pl.unreclaimableFree(worker, j) }
 }
--- a/internal/decider/view.go
+++ b/internal/decider/view.go
@@ -1,5 +1,8 @@
-// Package decider decides for one hall which gangs start, stop and wait. It does no input or output: a view of the
-// hall goes in, typed decisions with their reasons come out.
+// Package decider decides which gangs of one hall start, which are stopped and which wait. It does no I/O: a policy
+// gets a View of the hall and returns decisions with their reasons.
+//
+// A pledge is the reserved capacity of a worker: the devices kept for the guarantee of one workspace. Other workspaces
+// may borrow a pledge that is not in use, and their work is stopped when the owner reclaims it.
 package decider
 
 import (
@@ -9,69 +12,69 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// Job is a gang that waits or runs.
+// Job is a waiting or running gang: one or more identical members that start together on one rack.
 type Job struct {
 	Key             string // Unique in the site.
 	Workspace       string
 	Kind            string
-	Gang            int            // Members, at least 1.
-	Shape           contract.Shape // Of each member.
-	DeclaredSeconds float64
+	Gang            int            // Number of members, at least 1.
+	Shape           contract.Shape // Resources of each member.
+	DeclaredSeconds float64        // Run time that the user declared.
 	Urgent          bool
 	AtMostOnce      bool
 	Checkpoints     bool
 	Arrived         time.Time
-	Done            float64  // Seconds of work that its last checkpoint holds.
-	Stops           int      // Times it was stopped to make room.
-	FailedOn        []string // Workers that a member failed on.
-	Losses          int      // Attempts that lost a worker, probably by their own doing.
+	Done            float64  // Seconds of work saved in its last checkpoint.
+	Stops           int      // Number of times it was preempted.
+	FailedOn        []string // Workers in good standing on which a member failed.
+	Losses          int      // Attempts that lost a worker and probably caused the loss.
 }
 
-// Accelerators returns what the whole gang needs.
+// Accelerators returns the number of accelerators that the whole gang needs.
 func (j *Job) Accelerators() int { return j.Gang * j.Shape.Accelerators }
 
-// Lendable reports whether the job may run on devices that can be reclaimed.
+// Lendable reports whether the job may run on borrowed devices: it may be run again, or it continues from a checkpoint.
 func (j *Job) Lendable() bool { return !j.AtMostOnce || j.Checkpoints }
 
-// Member is a number of a gang's members on one worker.
+// Member places a number of a gang's members on one worker.
 type Member struct {
 	Worker int // Index into View.Workers.
 	Count  int
 }
 
-// Running is a gang that has been placed and has not left its workers.
+// Running is a gang that holds devices on its workers.
 type Running struct {
 	Job      Job
 	Members  []Member
 	Started  time.Time
-	Stopping bool // It was told to stop and its devices come free soon.
+	Stopping bool // It was told to stop; its devices become free soon.
 }
 
-// Worker is one worker of the hall.
+// Worker describes one worker of the hall.
 type Worker struct {
 	Name     string
 	Rack     int // Index into View.Racks.
 	Capacity contract.Shape
-	Usable   bool // False while it is drained, lost or on probation.
-	Probe    bool // Usable for one gang only, to see whether it recovered.
+	Usable   bool // False while the worker is drained, lost or on probation.
+	Probe    bool // Takes one gang only, to test whether the worker has recovered.
 }
 
-// Rack is one rack of the hall.
+// Rack describes one rack of the hall.
 type Rack struct {
 	Name    string
 	Workers []int // Indexes into View.Workers.
 }
 
-// SetAside keeps a rack for a gang that waits.
+// SetAside reserves a rack for a waiting gang.
 type SetAside struct {
-	Job      string
-	Rack     int
-	Since    time.Time
-	Vacating bool // Work was told to leave the rack; what it frees goes to the gang before anything else.
-	Pledged  bool // The same on the pledge of the gang's workspace.
+	Job        string
+	Rack       int
+	Since      time.Time
+	Preempting bool // Gangs on the rack were preempted; the devices that they free go to this gang first.
+	Pledged    bool // The gang gets devices from the pledge of its workspace.
 }
 
-// View is all that a pass sees; the decider changes nothing in it.
+// View is the input of a pass. The decider does not modify it.
 type View struct {
 	Now        time.Time
 	Site       *contract.Site
@@ -80,33 +83,33 @@
 	Layout     pledge.Layout
 	Running    []Running
 	Waiting    []Job
-	Claims     []string // Workspaces that claimed their whole guarantee back.
+	Claims     []string // Workspaces that reclaim their whole guarantee.
 	SetAsides  []SetAside
 	Estimates  *Estimates
-	UsedBefore map[string]int // Accelerators that workspaces use in other halls.
+	UsedBefore map[string]int // Accelerators in use in other halls, by workspace.
 }
 
-// Kind is what a decision does.
+// Kind tells what a decision does.
 type Kind string
 
-// The kinds of decisions.
+// Kinds of decisions.
 const (
-	Start  Kind = "start"   // Place the gang on the members' workers.
-	Stop   Kind = "stop"    // Stop a running gang to make room; it waits again.
-	GiveUp Kind = "give_up" // The gang can never run.
+	Start  Kind = "start"   // Start the gang on the workers of Members.
+	Stop   Kind = "stop"    // Preempt a running gang; it waits again.
+	GiveUp Kind = "give_up" // Fail the gang: it can never run.
 )
 
-// Decision is one thing to do with one job.
+// Decision tells what to do with one job.
 type Decision struct {
 	Kind    Kind
 	Job     string
 	Members []Member // Of Start.
-	AtOnce  bool     // Of Stop: without waiting for a checkpoint.
-	For     string   // Of Stop: the job or workspace that gets the room.
+	AtOnce  bool     // Of Stop: do not wait for a checkpoint.
+	For     string   // Of Stop: the job or workspace that gets the devices.
 	Reason  *Reason
 }
 
-// Wait is why a job of the view still waits; jobs alike share a reason.
+// Wait gives the reason why a job still waits. Jobs with the same request share one Reason.
 type Wait struct {
 	Job    int // Index into View.Waiting.
 	Reason *Reason
@@ -116,10 +119,10 @@
 type Outcome struct {
 	Decisions []Decision
 	Waits     []Wait
-	SetAsides []SetAside // To be handed to the next pass.
+	SetAsides []SetAside // Input of the next pass.
 }
 
-// Policy decides one pass; implementations hold no state between passes.
+// Policy decides one pass. Implementations keep no state between passes.
 type Policy interface {
 	Name() string
 	Decide(v *View) Outcome
--- a/internal/pledge/firm.go
+++ b/internal/pledge/firm.go
@@ -2,17 +2,17 @@
 
 import "github.com/pulleyring/pulleyring/pkg/contract"
 
-// Open returns what of a worker is pledged to nobody.
-func (l Layout) Open(w contract.Worker) contract.Shape {
-	open := w.Capacity
+// Unreserved returns the unreserved capacity of a worker.
+func (l Layout) Unreserved(w contract.Worker) contract.Shape {
+	free := w.Capacity
 	for _, s := range l[w.Name] {
-		open = open.Sub(s.Shape)
+		free = free.Sub(s.Shape)
 	}
-	return open
+	return free
 }
 
-// Own returns what of a worker is pledged to a workspace.
-func (l Layout) Own(w contract.Worker, workspace string) contract.Shape {
+// PledgedShape returns the capacity of a worker that is pledged to a workspace.
+func (l Layout) PledgedShape(w contract.Worker, workspace string) contract.Shape {
 	for _, s := range l[w.Name] {
 		if s.Workspace == workspace {
 			return s.Shape
@@ -21,18 +21,18 @@
 	return contract.Shape{}
 }
 
-// HoldsFirmly reports whether a rack, when empty, could hold a gang of a workspace on devices that nobody can reclaim
-// from it: those pledged to the workspace and those pledged to nobody.
+// HoldsFirmly reports whether an empty rack could fit a gang of a workspace on devices that cannot be reclaimed from
+// it: on each worker, either those pledged to the workspace or the unreserved ones.
 func (l Layout) HoldsFirmly(r contract.Rack, workspace string, gang int, shape contract.Shape) bool {
 	room := 0
 	for _, w := range r.Workers {
-		room += max(shape.Copies(l.Open(w)), shape.Copies(l.Own(w, workspace)))
+		room += max(shape.Copies(l.Unreserved(w)), shape.Copies(l.PledgedShape(w, workspace)))
 	}
 	return room >= gang
 }
 
-// Proportionate reports whether a shape asks for no more cpus and memory beside its accelerators than the workers of a
-// hall have in proportion, which is what a guaranteed block comes with.
+// Proportionate reports whether a shape asks for no more CPUs and memory per accelerator than every worker of a hall
+// has. A guaranteed block includes CPUs and memory in that proportion.
 func Proportionate(h contract.Hall, shape contract.Shape) bool {
 	for _, r := range h.Racks {
 		for _, w := range r.Workers {
--- a/internal/pledge/plan.go
+++ b/internal/pledge/plan.go
@@ -1,4 +1,5 @@
-// Package pledge lays the guarantees of a site's workspaces onto its workers.
+// Package pledge assigns the guarantees of a site's workspaces to its workers. A pledge is the reserved capacity of a
+// worker: the devices kept for the guarantee of one workspace.
 package pledge
 
 import (
@@ -12,16 +13,16 @@
 	"github.com/pulleyring/pulleyring/pkg/finding"
 )
 
-// Share is a part of one worker that is pledged to one workspace.
+// Share is the part of one worker that is pledged to one workspace.
 type Share struct {
 	Workspace string
-	Shape     contract.Shape // Its accelerators and their proportion of cpus and memory.
+	Shape     contract.Shape // Accelerators with their proportion of CPUs and memory.
 }
 
-// Layout maps the names of workers to what is pledged of them.
+// Layout holds the pledges by name of the worker.
 type Layout map[string][]Share
 
-// Pledged returns the accelerators of a worker that are pledged to a workspace.
+// Pledged returns the number of accelerators of a worker that are pledged to a workspace.
 func (l Layout) Pledged(worker, workspace string) int {
 	for _, s := range l[worker] {
 		if s.Workspace == workspace {
@@ -31,35 +32,36 @@
 	return 0
 }
 
-// Condition is what a plan must work around.
+// Condition limits the workers on which a plan may put pledges.
 type Condition struct {
-	Failed    map[string]bool // Workers that nothing may be pledged on.
-	Protected map[string]int  // Accelerators of workers held by work that can't be stopped.
+	Failed    map[string]bool // Workers that get no pledges.
+	Protected map[string]int  // Accelerators in use by work that cannot be stopped, by worker.
 }
 
-// block is one guaranteed block that goes whole into a rack.
+// block is one guaranteed block of accelerators, which must fit into one rack.
 type block struct {
 	workspace string
 	index     int
 	size      int
 }
 
-// Plan lays every guaranteed block whole into one rack. It is deterministic: the largest blocks go first, each to the
-// rack that is fullest of pledges and still takes it, and to the one that ranks first by hash among equals. With a nil
-// condition it also keeps the site's reserve free in every hall and reports what does not fit; with one, the reserve
-// may be used.
+// Plan assigns every guaranteed block to one rack, and returns the layout and a finding for each workspace whose blocks
+// do not all fit. It is deterministic: the largest blocks go first, each to the rack where it needs the fewest workers,
+// then to the one with the least capacity left, then by hash. With a nil condition it keeps the site's reserve free in
+// every hall; with a condition the reserve may be used.
 func Plan(site *contract.Site, condition *Condition) (Layout, finding.List) {
 	p := newPlanner(site, condition)
 	var findings finding.List
 	for _, b := range blocks(site) {
 		if !p.place(b) {
-			report(&findings, site, b)
+			reportUnplaced(&findings, site, b)
 		}
 	}
 	return p.layout, findings
 }
 
-func report(findings *finding.List, site *contract.Site, b block) {
+// reportUnplaced adds a finding for a block that does not fit, one for each workspace.
+func reportUnplaced(findings *finding.List, site *contract.Site, b block) {
 	key := "workspace." + b.workspace + ".guarantee_blocks"
 	for _, f := range *findings {
 		if f.Key == key {
@@ -70,7 +72,7 @@
 		"block %d of %d accelerators fits no rack beside the other guarantees and a reserve of %g", b.index+1, b.size, site.ReserveShare)
 }
 
-// blocks returns every block, the largest first.
+// blocks returns the guaranteed blocks of all workspaces, largest first.
 func blocks(site *contract.Site) []block {
 	var list []block
 	for _, w := range site.Workspaces {
@@ -84,54 +86,55 @@
 	return list
 }
 
-// planner holds the room that is left while blocks are laid.
+// planner holds the capacity that is left while blocks are assigned.
 type planner struct {
-	site   *contract.Site
-	layout Layout
-	room   map[string]int // Accelerators left, by worker.
-	spare  map[string]int // Accelerators left for guarantees, by hall.
+	site         *contract.Site
+	layout       Layout
+	freeByWorker map[string]int // Accelerators without a pledge, by worker.
+	freeByHall   map[string]int // Accelerators left for pledges, by hall.
 }
 
+// newPlanner returns the capacity without pledges. A nil condition subtracts the reserve of the site from each hall.
 func newPlanner(site *contract.Site, condition *Condition) *planner {
-	p := &planner{site: site, layout: Layout{}, room: map[string]int{}, spare: map[string]int{}}
+	p := &planner{site: site, layout: Layout{}, freeByWorker: map[string]int{}, freeByHall: map[string]int{}}
 	for _, h := range site.Halls {
 		total := 0
 		for _, r := range h.Racks {
 			for _, w := range r.Workers {
-				room := w.Capacity.Accelerators
+				free := w.Capacity.Accelerators
 				if condition != nil {
-					room -= condition.Protected[w.Name]
+					free -= condition.Protected[w.Name]
 					if condition.Failed[w.Name] {
-						room = 0
+						free = 0
 					}
 				}
-				p.room[w.Name] = max(room, 0)
-				total += max(room, 0)
+				p.freeByWorker[w.Name] = max(free, 0)
+				total += max(free, 0)
 			}
 		}
-		p.spare[h.Name] = total
+		p.freeByHall[h.Name] = total
 		if condition == nil {
-			p.spare[h.Name] -= int(math.Ceil(site.ReserveShare * float64(total)))
+			p.freeByHall[h.Name] -= int(math.Ceil(site.ReserveShare * float64(total)))
 		}
 	}
 	return p
 }
 
-// place lays one block and reports whether a rack had room.
+// place assigns one block to the best rack. It returns false if no rack fits it.
 func (p *planner) place(b block) bool {
 	var best *contract.Rack
-	var bestFit fit
+	var bestFit rackFit
 	for i := range p.site.Halls {
 		h := &p.site.Halls[i]
-		if p.spare[h.Name] < b.size {
+		if p.freeByHall[h.Name] < b.size {
 			continue
 		}
 		for j := range h.Racks {
 			r := &h.Racks[j]
-			if p.rackRoom(r) < b.size {
+			if p.rackFree(r) < b.size {
 				continue
 			}
-			f := fit{clean: p.clean(r, b.size), room: p.rackRoom(r), rank: rank(b, r.Name)}
+			f := rackFit{fewestWorkers: p.usesFewestWorkers(r, b.size), free: p.rackFree(r), rank: hashRank(b, r.Name)}
 			if best == nil || f.better(bestFit) {
 				best, bestFit = r, f
 			}
@@ -140,46 +143,48 @@
 	if best == nil {
 		return false
 	}
-	p.lay(best, b)
-	p.spare[best.Hall] -= b.size
+	p.pledgeRack(best, b)
+	p.freeByHall[best.Hall] -= b.size
 	return true
 }
 
-// fit is how well a rack suits a block.
-type fit struct {
-	clean bool   // On the fewest workers.
-	room  int    // Accelerators left in the rack before the block is laid.
-	rank  uint64 // By hash, where everything else is equal.
+// rackFit describes how well a rack suits a block.
+type rackFit struct {
+	fewestWorkers bool   // The block needs no more workers than necessary.
+	free          int    // Accelerators left in the rack before the block is assigned.
+	rank          uint64 // Hash that decides between racks that are otherwise equal.
 }
 
-// better prefers fewest workers, then the rack that is fullest of pledges, so that other racks stay whole for gangs
-// that no guarantee covers.
-func (f fit) better(o fit) bool {
-	if f.clean != o.clean {
-		return f.clean
+// better reports whether f suits the block better than o. It prefers the fewest workers, then the rack with the least
+// capacity left, so that other racks stay without pledges for gangs that have no guarantee.
+func (f rackFit) better(o rackFit) bool {
+	if f.fewestWorkers != o.fewestWorkers {
+		return f.fewestWorkers
 	}
-	if f.room != o.room {
-		return f.room < o.room
+	if f.free != o.free {
+		return f.free < o.free
 	}
 	return f.rank > o.rank
 }
 
-func (p *planner) rackRoom(r *contract.Rack) int {
+// rackFree returns the number of accelerators left in a rack.
+func (p *planner) rackFree(r *contract.Rack) int {
 	sum := 0
 	for _, w := range r.Workers {
-		sum += p.room[w.Name]
+		sum += p.freeByWorker[w.Name]
 	}
 	return sum
 }
 
-// clean reports whether a rack takes the block on the fewest workers that a block of its size needs there.
-func (p *planner) clean(r *contract.Rack, size int) bool {
+// usesFewestWorkers reports whether a rack fits the block without using more workers than a block of its size needs
+// there.
+func (p *planner) usesFewestWorkers(r *contract.Rack, size int) bool {
 	for _, w := range r.Workers {
 		capacity := w.Capacity.Accelerators
 		if capacity == 0 {
 			continue
 		}
-		if size >= capacity && p.room[w.Name] == capacity {
+		if size >= capacity && p.freeByWorker[w.Name] == capacity {
 			size -= capacity
 		}
 	}
@@ -187,43 +192,44 @@
 		return true
 	}
 	for _, w := range r.Workers {
-		if room := p.room[w.Name]; room >= size && room < w.Capacity.Accelerators {
+		if free := p.freeByWorker[w.Name]; free >= size && free < w.Capacity.Accelerators {
 			return true
 		}
 	}
 	for _, w := range r.Workers {
-		if p.room[w.Name] >= size {
+		if p.freeByWorker[w.Name] >= size {
 			return true
 		}
 	}
 	return false
 }
 
-// lay puts the block onto the workers of a rack: whole workers first, the rest on the fullest that takes it.
-func (p *planner) lay(r *contract.Rack, b block) {
+// pledgeRack pledges workers of a rack to the block: whole workers first, and the rest on the fullest worker that fits
+// it.
+func (p *planner) pledgeRack(r *contract.Rack, b block) {
 	workers := slices.Clone(r.Workers)
 	slices.SortFunc(workers, func(x, y contract.Worker) int {
-		return cmp.Or(cmp.Compare(rank(b, y.Name), rank(b, x.Name)), cmp.Compare(x.Name, y.Name))
+		return cmp.Or(cmp.Compare(hashRank(b, y.Name), hashRank(b, x.Name)), cmp.Compare(x.Name, y.Name))
 	})
 	left := b.size
 	for left > 0 {
-		w := p.pick(workers, left)
-		amount := min(left, p.room[w.Name])
-		p.give(w, b.workspace, amount)
+		w := p.pickWorker(workers, left)
+		amount := min(left, p.freeByWorker[w.Name])
+		p.addPledge(w, b.workspace, amount)
 		left -= amount
 	}
 }
 
-// pick returns the worker for the next part of a block: the fullest that takes all of it, else the emptiest.
-func (p *planner) pick(workers []contract.Worker, left int) contract.Worker {
+// pickWorker returns the worker for the next part of a block: the fullest that fits all of it, or else the emptiest.
+func (p *planner) pickWorker(workers []contract.Worker, left int) contract.Worker {
 	var fullest, emptiest *contract.Worker
 	for i := range workers {
 		w := &workers[i]
-		room := p.room[w.Name]
-		if room >= left && (fullest == nil || room < p.room[fullest.Name]) {
+		free := p.freeByWorker[w.Name]
+		if free >= left && (fullest == nil || free < p.freeByWorker[fullest.Name]) {
 			fullest = w
 		}
-		if emptiest == nil || room > p.room[emptiest.Name] {
+		if emptiest == nil || free > p.freeByWorker[emptiest.Name] {
 			emptiest = w
 		}
 	}
@@ -233,8 +239,9 @@
 	return *emptiest
 }
 
-func (p *planner) give(w contract.Worker, workspace string, amount int) {
-	p.room[w.Name] -= amount
+// addPledge pledges accelerators of a worker to a workspace.
+func (p *planner) addPledge(w contract.Worker, workspace string, amount int) {
+	p.freeByWorker[w.Name] -= amount
 	shares := p.layout[w.Name]
 	for i := range shares {
 		if shares[i].Workspace == workspace {
@@ -245,7 +252,7 @@
 	p.layout[w.Name] = append(shares, Share{Workspace: workspace, Shape: proportion(w.Capacity, amount)})
 }
 
-// proportion returns accelerators with their part of the worker's cpus and memory.
+// proportion returns a number of accelerators with their part of the worker's CPUs and memory.
 func proportion(capacity contract.Shape, accelerators int) contract.Shape {
 	return contract.Shape{
 		CPUs:         capacity.CPUs * accelerators / capacity.Accelerators,
@@ -254,13 +261,14 @@
 	}
 }
 
-// rank orders racks and workers for a block by rendezvous hashing.
-func rank(b block, name string) uint64 {
+// hashRank returns the rendezvous hash of a rack or worker for a block; the highest comes first.
+func hashRank(b block, name string) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s/%d/%s", b.workspace, b.index, name))
 }
 
-// Moved returns the share of pledged accelerators of the layout before that stand elsewhere in the layout after.
-func Moved(before, after Layout) float64 {
+// MovedShare returns the share (0 to 1) of the accelerators pledged in one layout that are not on the same worker in
+// another.
+func MovedShare(before, after Layout) float64 {
 	total, moved := 0, 0
 	for worker, shares := range before {
 		for _, s := range shares {
