--- a/internal/rig/client.go
+++ b/internal/rig/client.go
@@ -15,120 +15,122 @@
 )
 
 const (
-	// probeEvery is how often boxes are asked whether they are ready, and after missesMost misses in a row they get no new connections (the
-	// users' pages).
-	probeEvery, missesMost = time.Second, 2
-	// askedAfterEnd is how often a client asks for a state once it was told the last one.
-	askedAfterEnd = 3
+	// The interval of readiness probes of the boxes, and the number of consecutive failures after which a box gets
+	// no new connections. Both are from the users' pages.
+	probeInterval, maxMissedProbes = time.Second, 2
+	// pollsAfterEnd is the number of times a client polls a job that has reached its final state, to see that the
+	// state stays.
+	pollsAfterEnd = 3
 )
 
-// handedIn is a job and what its client knows of it.
-type handedIn struct {
+// submittedJob is a job that a client submits, with what the client knows of it.
+type submittedJob struct {
 	standin.Job
 	id          job.ID
-	once        bool          // It is not handed in again after a refusal.
-	cancelAfter time.Duration // It is cancelled so long after it was accepted; 0 for never.
-
-	accepted, refused, unknown bool // What became of the tries to hand it in.
-	at, cancelled              time.Time
-	asked                      bool // It was sent to be cancelled.
-	state                      string
-	settled                    bool // Its client asks no more.
+	once        bool          // The client does not retry after a refusal.
+	cancelAfter time.Duration // Time between acceptance and cancellation; 0 to never cancel.
+
+	accepted, refused, undecided bool // Outcomes of the attempts to submit the job.
+	acceptedAt, cancelledAt      time.Time
+	cancelSent                   bool // A request to cancel the job was sent.
+	state                        string
+	pollingDone                  bool // The client has stopped polling.
 }
 
-// errBroken says that a connection ended without an answer.
-var errBroken = errors.New("rig: the connection ended")
+// errNoAnswer reports that a connection ended before the answer to a request.
+var errNoAnswer = errors.New("rig: the connection ended before the answer")
 
-// verb is what a call of a client is for.
+// verb is the kind of a client's call.
 type verb int
 
 const (
 	submitting verb = iota
-	asking
+	polling
 	cancelling
 )
 
-// call is what a client saw of a call.
+// call records one call of a client.
 type call struct {
 	standin.Answer
 	verb        verb
-	job         *handedIn
-	box         string // That the connection leads to; empty where there was none.
+	job         *submittedJob
+	box         string // Box at the other end of the connection; empty if there was no connection.
 	sent, ended time.Time
 	written     time.Time // When the whole request was written; zero if it was not.
-	broken      []call    // Tries before on connections that ended without an answer; the HTTP client repeats what may be repeated.
+	// Earlier attempts whose connections ended without an answer; the HTTP client retries idempotent requests.
+	brokenTries []call
 }
 
-// probe is how a box answered to a key.
+// probe records whether a box accepted an API key.
 type probe struct {
-	box     string
-	sent    time.Time
-	version int // Of the configuration that the key came with.
-	taken   bool
+	box      string
+	sent     time.Time
+	version  int // Version of the configuration that introduced the key.
+	accepted bool
 }
 
-// connection is one that leads to a box.
+// connection is a connection to a box.
 type connection struct {
 	net.Conn
 	box string
 }
 
-// dial connects a client to one of the boxes that take new connections, to any if none does.
+// dial connects a client to one of the boxes that get new connections, or to any box if none does.
 func (p *play) dial(ctx context.Context, seed int) (net.Conn, error) {
 	p.mu.Lock()
-	var in []*boxAt
+	var ready []*boxInstance
 	for _, b := range p.boxes {
-		if b.in {
-			in = append(in, b)
+		if b.inRotation {
+			ready = append(ready, b)
 		}
 	}
-	if len(in) == 0 {
-		in = p.boxes
+	if len(ready) == 0 {
+		ready = p.boxes
 	}
-	b := in[seed%len(in)]
+	b := ready[seed%len(ready)]
 	p.mu.Unlock()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", b.front)
 	if err != nil {
-		return nil, errors.Wrap(err, "rig: no connection to a box")
+		return nil, errors.Wrap(err, "rig: unable to connect to a box")
 	}
 	return &connection{c, b.name}, nil
 }
 
-// balance asks the boxes whether they are ready and which keys they take, until ctx ends.
+// balance probes the boxes for readiness and for the API keys that they accept, until ctx ends.
 func (p *play) balance(ctx context.Context) {
-	patient := &http.Client{Timeout: probeEvery}
-	interval.Every(ctx, probeEvery, func(context.Context) {
+	client := &http.Client{Timeout: probeInterval}
+	interval.Every(ctx, probeInterval, func(context.Context) {
 		for _, b := range p.boxes {
-			p.group.Go(func() { p.probe(patient, b) })
+			p.group.Go(func() { p.probe(client, b) })
 		}
 	})
 }
 
-func (p *play) probe(c *http.Client, b *boxAt) {
+func (p *play) probe(c *http.Client, b *boxInstance) {
 	ready := standin.Ready(c, b.ready)
 	p.mu.Lock()
-	b.missed++
+	b.missedProbes++
 	if ready {
-		b.missed = 0
+		b.missedProbes = 0
 	}
-	b.in = b.missed < missesMost
+	b.inRotation = b.missedProbes < maxMissedProbes
 	version := p.version
 	p.mu.Unlock()
 	for _, v := range []int{version, version - 1} {
 		sent := time.Now()
-		taken, known := standin.Knows(c, b.front, standin.GuestKey(v))
+		accepted, known := standin.Knows(c, b.front, standin.GuestKey(v))
 		if known && v > 0 {
 			p.mu.Lock()
-			p.probes = append(p.probes, probe{b.name, sent, v, taken})
+			p.probes = append(p.probes, probe{b.name, sent, v, accepted})
 			p.mu.Unlock()
 		}
 	}
 }
 
-// submit has a client hand a job in until it is accepted or refused for good, and follow it to its end. It keeps its connection for as long
-// as that is open.
+// submit starts a client that submits a job until it is accepted or finally refused, and then polls it to its end.
+// The client keeps its connection for as long as that stays open.
 func (p *play) submit(ctx context.Context, s *Step) {
-	j := &handedIn{Job: standin.Job{Tasks: s.Count, Work: s.Work, Each: slot}}
+	j := &submittedJob{Job: standin.Job{Tasks: s.Count, Work: s.Work, Each: taskResources}}
 	for _, word := range s.Args[2:] {
 		switch word {
 		case "gang":
@@ -138,7 +140,7 @@
 		case "once":
 			j.once = true
 		default:
-			j.cancelAfter, _ = time.ParseDuration(word) // It was read before.
+			j.cancelAfter, _ = time.ParseDuration(word) // Checked by checkOptions.
 		}
 	}
 	p.mu.Lock()
@@ -154,31 +156,32 @@
 	c := &standin.Client{HTTP: &http.Client{Transport: transport}}
 	p.group.Go(func() {
 		defer transport.CloseIdleConnections()
-		for after := 0; ctx.Err() == nil && after < askedAfterEnd; interval.Sleep(ctx, pollEvery) {
-			if p.turn(ctx, c, j) {
-				after++
+		for polls := 0; ctx.Err() == nil && polls < pollsAfterEnd; interval.Sleep(ctx, pollInterval) {
+			if p.nextCall(ctx, c, j) {
+				polls++
 			}
 		}
 		p.mu.Lock()
-		j.settled = ctx.Err() == nil
+		j.pollingDone = ctx.Err() == nil
 		p.mu.Unlock()
 	})
 }
 
-// turn is a client's next call, and reports whether it knows the end.
-func (p *play) turn(ctx context.Context, c *standin.Client, j *handedIn) bool {
-	v := asking
+// nextCall makes the client's next call, and reports whether the client knows that the job has ended or was finally
+// refused.
+func (p *play) nextCall(ctx context.Context, c *standin.Client, j *submittedJob) bool {
+	v := polling
 	switch {
 	case !j.accepted:
 		v = submitting
-	case j.cancelAfter > 0 && j.cancelled.IsZero() && time.Since(j.at) > j.cancelAfter && !standin.Final(j.state):
+	case j.cancelAfter > 0 && j.cancelledAt.IsZero() && time.Since(j.acceptedAt) > j.cancelAfter && !standin.Final(j.state):
 		v = cancelling
 	}
 	x := call{verb: v, job: j, sent: time.Now()}
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
 			if x.box != "" {
-				x.broken = append(x.broken, call{box: x.box, sent: x.sent, written: x.written, ended: time.Now(), Answer: standin.Answer{Err: errBroken}})
+				x.brokenTries = append(x.brokenTries, call{box: x.box, sent: x.sent, written: x.written, ended: time.Now(), Answer: standin.Answer{Err: errNoAnswer}})
 			}
 			if c, ok := i.Conn.(*connection); ok {
 				x.box, x.written = c.box, time.Time{}
@@ -204,23 +207,24 @@
 	if ctx.Err() == nil {
 		p.calls = append(p.calls, x)
 	}
-	return j.take(&x)
+	return j.recordAnswer(&x)
 }
 
-// take takes in what a call was answered and reports whether the client knows the end.
-func (j *handedIn) take(x *call) bool {
+// recordAnswer records the answer to a call, and reports whether the client knows that the job has ended or was finally
+// refused.
+func (j *submittedJob) recordAnswer(x *call) bool {
 	switch {
 	case x.verb == submitting && x.Status == http.StatusOK:
-		j.accepted, j.at = true, x.ended
+		j.accepted, j.acceptedAt = true, x.ended
 	case x.verb == submitting && x.Refused():
 		j.refused = true
-		return j.once && !j.unknown
+		return j.once && !j.undecided
 	case x.verb == submitting:
-		j.unknown = true
+		j.undecided = true
 	case x.verb == cancelling:
-		j.asked = true
+		j.cancelSent = true
 		if x.Status/100 == 2 || x.Status == http.StatusGone {
-			j.cancelled = x.ended
+			j.cancelledAt = x.ended
 		}
 	case x.State != "":
 		j.state = x.State
--- a/internal/rig/draw.go
+++ b/internal/rig/draw.go
@@ -8,81 +8,89 @@
 	"time"
 )
 
-// Every so many-th seed has as many processes as a machine of 12 cores bears beside other work, or faults that are planned only.
 const (
-	largeEvery   = 10
+	// Each largeEvery-th seed has as many processes as a machine of 12 cores can run beside other work.
+	largeEvery = 10
+	// Each plannedEvery-th seed has only planned faults.
 	plannedEvery = 3
 )
 
-// endWithin is how long after the last client has begun everything must have ended: leases of 10 s twice, an outage of the store in between,
-// and 14 s in which jobs end once nothing is wrong (the users' pages).
-const endWithin = 45 * time.Second
+// settleWithin is the time after the last job is submitted in which everything must end: two leases of 10 s, an outage
+// of the store in between, and 14 s in which jobs end once no fault is active (from the users' pages).
+const settleWithin = 45 * time.Second
 
-// partsOut are the parts of the store that can be out one by one.
-var partsOut = []string{"main", "main", "main", "main/0", "main/1", "main/2", "main/3", "main/4", "main/5", "main/6", "main/7"}
+// storeParts are the parts of the store that can fail one by one. The repeated entries make the main part more likely.
+var storeParts = []string{"main", "main", "main", "main/0", "main/1", "main/2", "main/3", "main/4", "main/5", "main/6", "main/7"}
 
-// drawing is a scenario that is being drawn.
-type drawing struct {
+// scenarioDraft is a scenario that is being generated.
+type scenarioDraft struct {
 	*rand.Rand
 	boxes, workers, slots int
 	planned               bool
-	back                  string        // How workers that have ended come back: "return" under a new name, "again" under their own.
-	kinds                 []int         // Of faults that strike: few in a seed, so that each comes often and they meet.
-	modes                 []string      // Of proxies, few in a seed too.
-	stores                []string      // How the store fails.
-	faults                time.Duration // Until when faults strike.
-	steps                 []drawn
-	used                  map[string]string // By target that something is wrong with: the step that heals it.
+	restartVerb           string // Verb that restarts ended workers: "return" under a new name, "again" under their own.
+	// Indexes of the kinds of faults in this scenario. A seed has few of them, so that each occurs often and they
+	// overlap.
+	faultKinds    []int
+	modes         []string      // Proxy modes in this scenario, also few.
+	storeFailures []string      // Failures of the store in this scenario.
+	faultsUntil   time.Duration // Time until which faults occur.
+	steps         []draftStep
+	healingSteps  map[string]string // By target that had a fault: the verb that ends it.
 }
 
-// drawn is a step as it stands in a scenario.
-type drawn struct {
+// draftStep is a step with its text in the scenario.
+type draftStep struct {
 	at   time.Duration
 	text string
 }
 
-// Draw draws the scenario of a seed: jobs over a length of time, and faults that come in series and overlap for three quarters of it.
+// Draw generates the scenario of a seed: jobs over the given length of time, and faults in its first three quarters,
+// which come in series and overlap.
 func Draw(seed uint64, length time.Duration) string {
-	d := &drawing{Rand: rand.New(rand.NewPCG(seed, 0)), faults: length * 3 / 4, used: map[string]string{}}
+	d := &scenarioDraft{Rand: rand.New(rand.NewPCG(seed, 0)), faultsUntil: length * 3 / 4, healingSteps: map[string]string{}}
 	d.boxes, d.workers, d.slots = 2+d.IntN(3), 4+d.IntN(6), 3+d.IntN(3)
 	d.planned = seed%plannedEvery == 0
-	d.back = []string{"return", "again"}[seed%2]
-	d.kinds = d.Perm(len(d.faultsOf("", "")))[:3+d.IntN(6)]
-	d.modes = d.some(2, modeClose, modeReset, modeSilent, modeOneWay, modeKeep, modeStale, modeSlow, modeRefuse)
-	d.stores = d.some(2, "slow", "lose", "busy", "silent", "part_out", "forget")
+	d.restartVerb = []string{"return", "again"}[seed%2]
+	d.faultKinds = d.Perm(len(d.faultsOf("", "")))[:3+d.IntN(6)]
+	d.modes = d.someOf(2, modeClose, modeReset, modeSilent, modeOneWay, modeKeep, modeStale, modeSlow, modeRefuse)
+	d.storeFailures = d.someOf(2, "slow", "lose", "busy", "silent", "part_out", "forget")
 	gap := 1200 * time.Millisecond
 	if seed%largeEvery == 0 {
 		d.boxes, d.workers, gap = 6, 50, 400*time.Millisecond
 	}
 	text := fmt.Sprintf("# Drawn from seed %d, for %s.\nboxes %d\nworkers %d\nslots %d\nalone %d\nheartbeat %s\nlease %s\ndrift %s\nmay_fail 1\nuntil %s\n",
-		seed, length, d.boxes, d.workers, d.slots, d.IntN(2), d.one("300ms", "500ms", "1500ms"), d.one("4s", "6s", "10s"), d.one("0", "0.02"), length+endWithin)
+		seed, length, d.boxes, d.workers, d.slots, d.IntN(2), d.oneOf("300ms", "500ms", "1500ms"), d.oneOf("4s", "6s", "10s"), d.oneOf("0", "0.02"), length+settleWithin)
 	for at := d.upTo(gap); at < length; at += d.upTo(2 * gap) {
-		d.add(at, d.job())
+		d.add(at, d.drawJob())
 	}
-	d.strike()
-	slices.SortStableFunc(d.steps, func(a, b drawn) int { return int(a.at - b.at) })
+	d.drawFaults()
+	slices.SortStableFunc(d.steps, func(a, b draftStep) int { return int(a.at - b.at) })
 	for _, s := range d.steps {
 		text += fmt.Sprintf("at %.3fs %s\n", s.at.Seconds(), s.text)
 	}
 	return text
 }
 
-func (d *drawing) one(words ...string) string { return words[d.IntN(len(words))] }
+func (d *scenarioDraft) oneOf(words ...string) string { return words[d.IntN(len(words))] }
 
-// some are n of the words.
-func (d *drawing) some(n int, words ...string) []string {
+// someOf returns n of the words at random.
+func (d *scenarioDraft) someOf(n int, words ...string) []string {
 	d.Shuffle(len(words), func(i, j int) { words[i], words[j] = words[j], words[i] })
 	return words[:n]
 }
 
-func (d *drawing) upTo(t time.Duration) time.Duration { return time.Duration(d.Int64N(int64(t))) }
+func (d *scenarioDraft) upTo(t time.Duration) time.Duration { return time.Duration(d.Int64N(int64(t))) }
 
-func (d *drawing) between(least, most time.Duration) time.Duration { return least + d.upTo(most-least) }
+func (d *scenarioDraft) between(low, high time.Duration) time.Duration {
+	return low + d.upTo(high-low)
+}
 
-func (d *drawing) add(at time.Duration, text string) { d.steps = append(d.steps, drawn{at, text}) }
+func (d *scenarioDraft) add(at time.Duration, text string) {
+	d.steps = append(d.steps, draftStep{at, text})
+}
 
-// job draws a job.
-func (d *drawing) job() string {
+// drawJob generates a job.
+func (d *scenarioDraft) drawJob() string {
 	text := fmt.Sprintf("client submit %d %s", 1+d.IntN(2*d.slots), d.between(300*time.Millisecond, 7*time.Second).Round(100*time.Millisecond))
 	for _, option := range []string{"gang", "ordered", "once", d.between(500*time.Millisecond, 6*time.Second).Round(100 * time.Millisecond).String()} {
 		if d.IntN(5) == 0 {
@@ -92,162 +100,162 @@
 	return text
 }
 
-// strike draws all faults, and heals what is still wrong at their end.
-func (d *drawing) strike() {
-	most := 1800 * time.Millisecond
+// drawFaults generates all faults, and heals those that are still active at the end.
+func (d *scenarioDraft) drawFaults() {
+	maxGap := 1800 * time.Millisecond
 	if d.planned {
-		most = 5 * time.Second
+		maxGap = 5 * time.Second
 	}
-	for at := d.upTo(most); at < d.faults; at += d.between(most/10, most) {
-		times, fault := 1, d.fault()
+	for at := d.upTo(maxGap); at < d.faultsUntil; at += d.between(maxGap/10, maxGap) {
+		times, fault := 1, d.drawFault()
 		if d.IntN(3) == 0 {
 			times += d.IntN(3) // A series of the same fault.
 		}
 		for range times {
-			at += d.draw(at, fault)
+			at += d.addFault(at, fault)
 		}
 	}
-	targets := make([]string, 0, len(d.used))
-	for target := range d.used {
+	targets := make([]string, 0, len(d.healingSteps))
+	for target := range d.healingSteps {
 		targets = append(targets, target)
 	}
 	slices.Sort(targets)
 	for _, target := range targets {
-		d.add(d.faults+8*time.Second, target+" "+d.used[target])
+		d.add(d.faultsUntil+8*time.Second, target+" "+d.healingSteps[target])
 	}
 }
 
-// fault is one that is drawn: on which target, and how it strikes.
+// fault is a kind of fault with its target and the function that adds its steps.
 type fault struct {
-	target string
-	strike func(d *drawing, at time.Duration, target string)
+	target   string
+	addSteps func(d *scenarioDraft, at time.Duration, target string)
 }
 
-// fault draws a fault of some target.
-func (d *drawing) fault() fault {
+// drawFault chooses a fault and its target.
+func (d *scenarioDraft) drawFault() fault {
 	box, worker := fmt.Sprintf("box-%d", 1+d.IntN(d.boxes)), fmt.Sprintf("w%d", 1+d.IntN(d.workers))
 	if d.planned {
-		return []fault{{box, endBox}, {box, endBox}, {worker, leaveWorker}, {"operator", configure}, {box, reload}}[d.IntN(5)]
+		return []fault{{box, shutDownBox}, {box, shutDownBox}, {worker, drainWorker}, {"operator", configure}, {box, reloadBox}}[d.IntN(5)]
 	}
-	return d.faultsOf(box, worker)[d.kinds[d.IntN(len(d.kinds))]]
+	return d.faultsOf(box, worker)[d.faultKinds[d.IntN(len(d.faultKinds))]]
 }
 
-// faultsOf are all that may strike, with those of a box and a worker.
-func (d *drawing) faultsOf(box, worker string) []fault {
+// faultsOf returns all kinds of faults, with the given box and worker as targets.
+func (d *scenarioDraft) faultsOf(box, worker string) []fault {
 	return []fault{
-		{box, endBox},
+		{box, shutDownBox},
 		{box, killBox},
-		{box, pause},
-		{box, reload},
-		{box + ".store", impair},
-		{box + ".store", impair},
-		{worker, leaveWorker},
+		{box, pauseProcess},
+		{box, reloadBox},
+		{box + ".store", disturbConnections},
+		{box + ".store", disturbConnections},
+		{worker, drainWorker},
 		{worker, crashWorker},
-		{worker, pause},
-		{worker, lapse},
-		{worker, disobey},
-		{worker + ".proxy", impair},
-		{worker + ".proxy", impair},
-		{worker + ".proxy", impair},
+		{worker, pauseProcess},
+		{worker, dropRecord},
+		{worker, disturbWorker},
+		{worker + ".proxy", disturbConnections},
+		{worker + ".proxy", disturbConnections},
+		{worker + ".proxy", disturbConnections},
 		{"store", disturbStore},
 		{"store", disturbStore},
 		{"operator", configure},
 	}
 }
 
-// draw strikes once, and returns how much later a series goes on.
-func (d *drawing) draw(at time.Duration, f fault) time.Duration {
-	f.strike(d, at, f.target)
+// addFault adds the steps of a fault once, and returns the delay until the next fault of a series.
+func (d *scenarioDraft) addFault(at time.Duration, f fault) time.Duration {
+	f.addSteps(d, at, f.target)
 	return d.upTo(1500 * time.Millisecond)
 }
 
-// wrong adds a fault that lasts for a time and is healed then.
-func (d *drawing) wrong(at, lasts time.Duration, target, verb, heal string) {
-	d.used[target] = heal
+// addHealedFault adds a fault that is healed after a time.
+func (d *scenarioDraft) addHealedFault(at, length time.Duration, target, verb, healVerb string) {
+	d.healingSteps[target] = healVerb
 	d.add(at, target+" "+verb)
-	d.add(at+lasts, target+" "+heal)
+	d.add(at+length, target+" "+healVerb)
 }
 
-// lasts draws how long a fault does: mostly short, at times for longer than leases.
-func (d *drawing) lasts() time.Duration {
+// faultLength chooses the length of a fault: mostly short, sometimes longer than a lease.
+func (d *scenarioDraft) faultLength() time.Duration {
 	if d.IntN(3) == 0 {
 		return d.between(4*time.Second, 12*time.Second)
 	}
 	return d.between(200*time.Millisecond, 4*time.Second)
 }
 
-// endBox ends a box as planned, and starts it again when its time is over.
-func endBox(d *drawing, at time.Duration, box string) {
-	d.used[box] = "restart"
+// shutDownBox shuts a box down as planned, and restarts it after the time limit of the shutdown.
+func shutDownBox(d *scenarioDraft, at time.Duration, box string) {
+	d.healingSteps[box] = "restart"
 	if d.planned && d.IntN(2) == 0 {
 		slowStore(d, max(at-time.Second, 0), "store")
 	}
 	d.add(at, box+" terminate")
-	d.add(at+grace, box+" kill")
-	d.add(at+grace+d.between(100*time.Millisecond, 2*time.Second), box+" restart")
+	d.add(at+shutdownWithin, box+" kill")
+	d.add(at+shutdownWithin+d.between(100*time.Millisecond, 2*time.Second), box+" restart")
 }
 
-func killBox(d *drawing, at time.Duration, box string) {
-	d.wrong(at, d.between(100*time.Millisecond, 4*time.Second), box, "kill", "restart")
+func killBox(d *scenarioDraft, at time.Duration, box string) {
+	d.addHealedFault(at, d.between(100*time.Millisecond, 4*time.Second), box, "kill", "restart")
 }
 
-func pause(d *drawing, at time.Duration, target string) {
-	d.wrong(at, d.lasts(), target, "stop", "continue")
+func pauseProcess(d *scenarioDraft, at time.Duration, target string) {
+	d.addHealedFault(at, d.faultLength(), target, "stop", "continue")
 	if strings.HasPrefix(target, "box") {
-		d.used[target] = "restart"
+		d.healingSteps[target] = "restart"
 	}
 }
 
-func reload(d *drawing, at time.Duration, box string) { d.add(at, box+" reload") }
+func reloadBox(d *scenarioDraft, at time.Duration, box string) { d.add(at, box+" reload") }
 
-func configure(d *drawing, at time.Duration, _ string) { d.add(at, "operator configure next") }
+func configure(d *scenarioDraft, at time.Duration, _ string) { d.add(at, "operator configure next") }
 
-// impair has a proxy treat connections badly.
-func impair(d *drawing, at time.Duration, proxy string) {
-	switch mode := d.one(d.modes...); {
+// disturbConnections sets a proxy to a mode that disturbs connections.
+func disturbConnections(d *scenarioDraft, at time.Duration, proxy string) {
+	switch mode := d.oneOf(d.modes...); {
 	case mode == modeStale:
 		d.add(at, proxy+" "+modeStale)
 	case mode == modeSlow:
-		d.wrong(at, d.lasts(), proxy, modeSlow+" "+d.between(50*time.Millisecond, 900*time.Millisecond).Round(time.Millisecond).String(), modePass)
+		d.addHealedFault(at, d.faultLength(), proxy, modeSlow+" "+d.between(50*time.Millisecond, 900*time.Millisecond).Round(time.Millisecond).String(), modePass)
 	case mode == modeRefuse && strings.HasSuffix(proxy, ".proxy"):
-		d.wrong(at, d.lasts(), proxy, modeReset, modePass)
+		d.addHealedFault(at, d.faultLength(), proxy, modeReset, modePass)
 	default:
-		d.wrong(at, d.lasts(), proxy, mode, modePass)
+		d.addHealedFault(at, d.faultLength(), proxy, mode, modePass)
 	}
 }
 
-// leaveWorker has a worker say that it leaves, work its runs off and end; another life comes later.
-func leaveWorker(d *drawing, at time.Duration, worker string) {
-	leaves := d.between(2*time.Second, 8*time.Second).Round(time.Millisecond)
-	d.used[worker] = d.back
-	d.add(at, fmt.Sprintf("%s drain %s", worker, leaves))
+// drainWorker has a worker announce its departure, finish its runs and end. A new incarnation starts later.
+func drainWorker(d *scenarioDraft, at time.Duration, worker string) {
+	delay := d.between(2*time.Second, 8*time.Second).Round(time.Millisecond)
+	d.healingSteps[worker] = d.restartVerb
+	d.add(at, fmt.Sprintf("%s drain %s", worker, delay))
 	if d.IntN(2) == 0 {
-		d.add(at+leaves, fmt.Sprintf("%s leave_after_end %s", worker, d.one("0s", "3ms", "20ms")))
+		d.add(at+delay, fmt.Sprintf("%s leave_after_end %s", worker, d.oneOf("0s", "3ms", "20ms")))
 	}
-	gone := at + leaves + d.between(100*time.Millisecond, 4*time.Second)
-	d.add(gone, worker+" leave")
-	d.add(gone+d.upTo(3*time.Second), worker+" "+d.back)
+	end := at + delay + d.between(100*time.Millisecond, 4*time.Second)
+	d.add(end, worker+" leave")
+	d.add(end+d.upTo(3*time.Second), worker+" "+d.restartVerb)
 }
 
-// crashWorker ends a worker at once; another life comes later.
-func crashWorker(d *drawing, at time.Duration, worker string) {
-	d.wrong(at, d.between(100*time.Millisecond, 5*time.Second), worker, "kill", d.back)
+// crashWorker kills a worker. A new incarnation starts later.
+func crashWorker(d *scenarioDraft, at time.Duration, worker string) {
+	d.addHealedFault(at, d.between(100*time.Millisecond, 5*time.Second), worker, "kill", d.restartVerb)
 }
 
-// lapse has a worker write no record for a while; at times it can't be reached then either.
-func lapse(d *drawing, at time.Duration, worker string) {
-	lasts := d.lasts()
-	d.wrong(at, lasts, worker, d.one("quiet", "unrecord"), "beat")
+// dropRecord stops a worker's record for a while. Sometimes the worker can't be reached during that time either.
+func dropRecord(d *scenarioDraft, at time.Duration, worker string) {
+	length := d.faultLength()
+	d.addHealedFault(at, length, worker, d.oneOf("quiet", "unrecord"), "beat")
 	switch d.IntN(4) {
 	case 0:
-		d.wrong(at+d.upTo(time.Second), lasts, worker, "stop", "continue")
+		d.addHealedFault(at+d.upTo(time.Second), length, worker, "stop", "continue")
 	case 1, 2:
-		impair(d, at+d.upTo(time.Second), worker+".proxy")
+		disturbConnections(d, at+d.upTo(time.Second), worker+".proxy")
 	}
 }
 
-// disobey has a worker not answer orders, carry them out late or fail what it runs.
-func disobey(d *drawing, at time.Duration, worker string) {
+// disturbWorker has a worker leave polls unanswered, execute commands late or fail its runs.
+func disturbWorker(d *scenarioDraft, at time.Duration, worker string) {
 	switch d.IntN(3) {
 	case 0:
 		d.add(at, fmt.Sprintf("%s mute %d", worker, 1+d.IntN(12)))
@@ -255,28 +263,28 @@
 		d.add(at, fmt.Sprintf("%s late %d", worker, 1+d.IntN(12)))
 	default:
 		d.add(at, worker+" fail on")
-		d.add(at+d.lasts(), worker+" fail off")
+		d.add(at+d.faultLength(), worker+" fail off")
 	}
 }
 
-// slowStore has calls take so long that some are under way when a box is told to end.
-func slowStore(d *drawing, at time.Duration, store string) {
-	d.wrong(at, d.between(3*time.Second, 6*time.Second), store, "slow "+d.between(250*time.Millisecond, 450*time.Millisecond).Round(time.Millisecond).String(), "up")
+// slowStore slows the store down so that calls are in flight when a box is told to end.
+func slowStore(d *scenarioDraft, at time.Duration, store string) {
+	d.addHealedFault(at, d.between(3*time.Second, 6*time.Second), store, "slow "+d.between(250*time.Millisecond, 450*time.Millisecond).Round(time.Millisecond).String(), "up")
 }
 
-// disturbStore has the store fail.
-func disturbStore(d *drawing, at time.Duration, target string) {
-	how := d.one(d.stores...)
-	switch how {
+// disturbStore adds a failure of the store.
+func disturbStore(d *scenarioDraft, at time.Duration, target string) {
+	failure := d.oneOf(d.storeFailures...)
+	switch failure {
 	case "forget":
 		d.add(at, "store forget")
 		return
 	case "slow":
-		how += " " + d.between(20*time.Millisecond, 600*time.Millisecond).Round(time.Millisecond).String()
+		failure += " " + d.between(20*time.Millisecond, 600*time.Millisecond).Round(time.Millisecond).String()
 	case "lose":
-		how += " " + d.one("0.2", "0.8")
+		failure += " " + d.oneOf("0.2", "0.8")
 	case "part_out":
-		how += " " + d.one(partsOut...)
+		failure += " " + d.oneOf(storeParts...)
 	}
-	d.wrong(at, d.lasts(), target, how, "up")
+	d.addHealedFault(at, d.faultLength(), target, failure, "up")
 }
--- a/internal/rig/judge_test.go
+++ b/internal/rig/judge_test.go
@@ -10,7 +10,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestJudge reads its cases from testdata/judge.txt.
+// TestJudge checks the verdicts on the cases in testdata/judge.txt.
 func TestJudge(t *testing.T) {
 	raw, err := os.ReadFile("testdata/judge.txt")
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -24,9 +24,9 @@
 			}
 			v := Judge(lines)
 			found := map[bool]string{true: "none"}[len(v.Broken()) == 0]
-			if len(v.Twice) > 0 {
+			if len(v.DuplicateRuns) > 0 {
 				found = "twice"
-			} else if len(v.Budget) > 0 {
+			} else if len(v.ExcessAttempts) > 0 {
 				found = "budget"
 			}
 			quicktest.Assert(t, found, quicktest.Equals, want, quicktest.Commentf("%s", strings.Join(v.Broken(), "\n")))
@@ -34,7 +34,7 @@
 	}
 }
 
-// judgeLine reads a line of a case.
+// judgeLine parses a line of a case.
 func judgeLine(t *testing.T, fields []string) Line {
 	l := Line{At: second(t, fields[0]), Worker: fields[1], Event: fields[2]}
 	switch l.Event {
--- a/internal/rig/promises.go
+++ b/internal/rig/promises.go
@@ -13,244 +13,252 @@
 	"github.com/pulleyring/pulleyring/platform/standin"
 )
 
-// verdict judges the play, when all processes have ended.
+// verdict checks the play. All of its processes must have ended.
 func (p *play) verdict() *Verdict {
-	t, v := newTrace(p.lines), &Verdict{Jobs: len(p.jobs), Calls: len(p.calls), Exits: p.exits, Faults: p.troubles.kinds}
+	t, v := newTrace(p.lines), &Verdict{Jobs: len(p.jobs), Calls: len(p.calls), UnexpectedExits: p.exits, Faults: p.faults.kinds}
 	v.Checked += len(p.boxes)
 	v.judgeRuns(t)
 	for _, j := range p.jobs {
 		v.judgeEnd(p, t, j)
 		v.judgeOrder(t, j)
 	}
-	for _, s := range t.spans {
-		v.judgeMember(p, s)
-		v.judgeCancelled(p, s)
+	for _, run := range t.runs {
+		v.judgeMember(p, run)
+		v.judgeCancelled(p, run)
 	}
-	states := map[*handedIn]string{}
+	states := map[*submittedJob]string{}
 	for i := range p.calls {
 		v.judgeState(p, t, &p.calls[i], states)
 		v.judgeCut(p, &p.calls[i])
-		for k := range p.calls[i].broken {
-			v.judgeCut(p, &p.calls[i].broken[k])
+		for k := range p.calls[i].brokenTries {
+			v.judgeCut(p, &p.calls[i].brokenTries[k])
 		}
 	}
 	v.judgeKeys(p)
 	return v
 }
 
-// of are the runs of a job.
-func (t *trace) of(id job.ID) (list []*span) {
-	for _, s := range t.spans {
-		if strings.HasPrefix(s.task, string(id)+".") {
-			list = append(list, s)
+// runsOf returns the runs of a job.
+func (t *trace) runsOf(id job.ID) (list []*taskRun) {
+	for _, run := range t.runs {
+		if strings.HasPrefix(run.task, string(id)+".") {
+			list = append(list, run)
 		}
 	}
 	return list
 }
 
-// judgeEnd holds that a job ended as it should, or never ran where it was refused.
-func (v *Verdict) judgeEnd(p *play, t *trace, j *handedIn) {
+// judgeEnd checks that a job reached an expected final state, or that it never ran if it was refused.
+func (v *Verdict) judgeEnd(p *play, t *trace, j *submittedJob) {
 	v.Checked++
-	if j.once && j.refused && !j.unknown && !j.accepted {
-		if runs := t.of(j.id); len(runs) > 0 {
-			v.Refused = append(v.Refused, fmt.Sprintf("job %s, %s", j.id, runs[0]))
+	if j.once && j.refused && !j.undecided && !j.accepted {
+		if runs := t.runsOf(j.id); len(runs) > 0 {
+			v.RanRefused = append(v.RanRefused, fmt.Sprintf("job %s, %s", j.id, runs[0]))
 		}
 		return
 	}
-	mayFail := p.MayFail != 0 || mayBeGivenUp(t.of(j.id), time.Now())
-	ok := j.state == standin.Completed || j.state == "cancelled" && j.asked || j.state == "failed" && mayFail
+	mayFail := p.MayFail != 0 || mayFailCrashLooping(t.runsOf(j.id), time.Now())
+	ok := j.state == standin.Completed || j.state == "cancelled" && j.cancelSent || j.state == "failed" && mayFail
 	if !ok {
-		v.Unended = append(v.Unended, fmt.Sprintf("job %s is %q, accepted: %t", j.id, j.state, j.accepted))
+		v.Unfinished = append(v.Unfinished, fmt.Sprintf("job %s is %q, accepted: %t", j.id, j.state, j.accepted))
 	}
 }
 
-// judgeOrder holds that no task of the second step started before each of the first one was done.
-func (v *Verdict) judgeOrder(t *trace, j *handedIn) {
+// judgeOrder checks that no task of the second step started before every task of the first step was done.
+func (v *Verdict) judgeOrder(t *trace, j *submittedJob) {
 	if !j.Ordered {
 		return
 	}
-	runs, second := t.of(j.id), fmt.Sprintf("%s.0.1.", j.id)
-	for _, s := range runs {
-		if !strings.HasPrefix(s.task, second) {
+	runs, second := t.runsOf(j.id), fmt.Sprintf("%s.0.1.", j.id)
+	for _, run := range runs {
+		if !strings.HasPrefix(run.task, second) {
 			continue
 		}
 		v.Checked++
-		if n := done(runs, fmt.Sprintf("%s.0.0.", j.id), s.began, j.Gang); n < j.Tasks {
-			v.Order = append(v.Order, fmt.Sprintf("%s, with %d of %d tasks of the first step done", s, n, j.Tasks))
+		if n := countDone(runs, fmt.Sprintf("%s.0.0.", j.id), run.began, j.Gang); n < j.Tasks {
+			v.OutOfOrder = append(v.OutOfOrder, fmt.Sprintf("%s, with %d of %d tasks of the first step done", run, n, j.Tasks))
 		}
 	}
 }
 
-// done counts the tasks of a step that were done by a time; of a gang one stands for all.
-func done(runs []*span, step string, by time.Time, gang bool) int {
+// countDone counts the tasks of a step that had succeeded by a time. The success of one member counts for its whole
+// gang.
+func countDone(runs []*taskRun, step string, by time.Time, gang bool) int {
 	tasks := map[string]bool{}
-	for _, s := range runs {
-		if strings.HasPrefix(s.task, step) && s.outcome == job.Succeeded.String() && s.ended.Before(by) {
+	for _, run := range runs {
+		if strings.HasPrefix(run.task, step) && run.outcome == job.Succeeded.String() && run.ended.Before(by) {
 			if gang {
-				return s.members
+				return run.members
 			}
-			tasks[s.task] = true
+			tasks[run.task] = true
 		}
 	}
 	return len(tasks)
 }
 
-// judgeMember holds that no member of a gang waits for the others in vain while nothing is wrong.
-func (v *Verdict) judgeMember(p *play, s *span) {
-	if !s.gang || !p.troubles.calm(s.began, s.ended, nil) {
+// judgeMember checks that a gang member does not wait without success for the other members while no fault is
+// active.
+func (v *Verdict) judgeMember(p *play, run *taskRun) {
+	if !run.gang || !p.faults.undisturbed(run.began, run.ended, nil) {
 		return
 	}
 	v.Checked++
-	if j := p.jobOf(s); s.outcome == job.GangMissing.String() && !(j.asked && j.cancelled.Before(s.ended)) {
-		v.Gangs = append(v.Gangs, s.String())
+	if j := p.jobOf(run); run.outcome == job.GangMissing.String() && !(j.cancelSent && j.cancelledAt.Before(run.ended)) {
+		v.IncompleteGangs = append(v.IncompleteGangs, run.String())
 	}
 }
 
-// judgeCancelled holds that nothing of a cancelled job starts or runs on while nothing is wrong, once the time for that is over.
-func (v *Verdict) judgeCancelled(p *play, s *span) {
-	j := p.jobOf(s)
-	if j.cancelled.IsZero() {
+// judgeCancelled checks that no run of a cancelled job starts or continues after the limit while no fault is active.
+func (v *Verdict) judgeCancelled(p *play, run *taskRun) {
+	j := p.jobOf(run)
+	if j.cancelledAt.IsZero() {
 		return
 	}
-	by := j.cancelled.Add(cancelWithin)
-	if !p.troubles.calm(j.cancelled, by.Add(stopWithin), func(x *trouble) bool { return slices.Contains(leaving, x.verb) }) {
+	by := j.cancelledAt.Add(cancelWithin)
+	if !p.faults.undisturbed(j.cancelledAt, by.Add(stopWithin), func(x *faultPeriod) bool { return slices.Contains(leavingVerbs, x.verb) }) {
 		return
 	}
 	v.Checked++
-	if s.began.After(by) || s.began.Before(by) && s.ended.After(by.Add(stopWithin)) {
-		v.Cancels = append(v.Cancels, fmt.Sprintf("%s, cancelled at %s", s, j.cancelled.Format(clock)))
+	if run.began.After(by) || run.began.Before(by) && run.ended.After(by.Add(stopWithin)) {
+		v.RanCancelled = append(v.RanCancelled, fmt.Sprintf("%s, cancelled at %s", run, j.cancelledAt.Format(timeFormat)))
 	}
 }
 
-// jobOf is the job of a run. A run that nobody handed in is found where runs are read.
-func (p *play) jobOf(s *span) *handedIn {
+// jobOf returns the job of a run, or an empty one if no client submitted it.
+func (p *play) jobOf(run *taskRun) *submittedJob {
 	for _, j := range p.jobs {
-		if strings.HasPrefix(s.task, string(j.id)+".") {
+		if strings.HasPrefix(run.task, string(j.id)+".") {
 			return j
 		}
 	}
-	return &handedIn{}
+	return &submittedJob{}
 }
 
-// judgeState holds that a state that a client was told is so, and that a last one never changes.
-func (v *Verdict) judgeState(p *play, t *trace, c *call, states map[*handedIn]string) {
-	if c.verb != asking || c.Err != nil {
+// judgeState checks that a state reported to a client agrees with what the workers did, and that a final state never
+// changes.
+func (v *Verdict) judgeState(p *play, t *trace, c *call, states map[*submittedJob]string) {
+	if c.verb != polling || c.Err != nil {
 		return
 	}
 	v.Checked++
 	wrong := func(why string) {
-		v.States = append(v.States, fmt.Sprintf("job %s: %d %q by %s at %s: %s", c.job.id, c.Status, c.State, c.box, c.ended.Format(clock), why))
+		v.WrongStates = append(v.WrongStates, fmt.Sprintf("job %s: %d %q by %s at %s: %s", c.job.id, c.Status, c.State, c.box, c.ended.Format(timeFormat), why))
 	}
 	j, before := c.job, states[c.job]
-	runs := t.of(j.id)
+	runs := t.runsOf(j.id)
 	switch {
-	case c.Status == http.StatusGone && c.sent.Sub(j.at) > visibleWithin && p.troubles.calm(c.sent.Add(-visibleWithin), c.ended, nil):
+	case c.Status == http.StatusGone && c.sent.Sub(j.acceptedAt) > visibleWithin && p.faults.undisturbed(c.sent.Add(-visibleWithin), c.ended, nil):
 		wrong("it was accepted")
 	case c.State == "":
 		return
 	case standin.Final(before) && c.State != before:
 		wrong("it was " + before)
-	case c.State == standin.Completed && !wholeDone(runs, j, c.ended):
+	case c.State == standin.Completed && !allTasksDone(runs, j, c.ended):
 		wrong("not all of its tasks are done")
-	case c.State == "failed" && !usedUp(runs, c.ended) && !mayBeGivenUp(runs, c.ended):
+	case c.State == "failed" && !attemptsUsedUp(runs, c.ended) && !mayFailCrashLooping(runs, c.ended):
 		wrong("no task has used its attempts up or lost three workers")
-	case c.State == "cancelled" && !j.asked:
+	case c.State == "cancelled" && !j.cancelSent:
 		wrong("nobody cancelled it")
 	}
 	states[j] = c.State
 }
 
-// wholeDone reports whether all tasks of a job were done by a time.
-func wholeDone(runs []*span, j *handedIn, by time.Time) bool {
+// allTasksDone reports whether all tasks of a job were done by a time.
+func allTasksDone(runs []*taskRun, j *submittedJob, by time.Time) bool {
 	steps := 1
 	if j.Ordered {
 		steps = 2
 	}
 	for i := range steps {
-		if done(runs, fmt.Sprintf("%s.0.%d.", j.id, i), by, j.Gang) < j.Tasks {
+		if countDone(runs, fmt.Sprintf("%s.0.%d.", j.id, i), by, j.Gang) < j.Tasks {
 			return false
 		}
 	}
 	return true
 }
 
-// usedUp reports whether a task, or a gang, had failed as often as it may by a time.
-func usedUp(runs []*span, by time.Time) bool {
+// attemptsUsedUp reports whether a task or gang of a job had used up its attempts by a time.
+func attemptsUsedUp(runs []*taskRun, by time.Time) bool {
 	failed := map[string]map[int]bool{}
-	for _, s := range runs {
-		if s.outcome != job.FailedRun.String() || s.ended.After(by) {
+	for _, run := range runs {
+		if run.outcome != job.FailedRun.String() || run.ended.After(by) {
 			continue
 		}
-		if failed[s.whole()] == nil {
-			failed[s.whole()] = map[int]bool{}
+		if failed[run.attemptUnit()] == nil {
+			failed[run.attemptUnit()] = map[int]bool{}
 		}
-		if failed[s.whole()][s.run] = true; len(failed[s.whole()]) >= standin.Attempts {
+		if failed[run.attemptUnit()][run.run] = true; len(failed[run.attemptUnit()]) >= standin.Attempts {
 			return true
 		}
 	}
 	return false
 }
 
-// lostBefore is how many workers must have been killed under one task before its job may be given up. The users allow it from the second one on.
-const lostBefore = 3
+// killsBeforeFailure is the number of workers that must have been killed under one task before its job may be failed as
+// crash-looping. The users allow it from the second one on.
+const killsBeforeFailure = 3
 
-// mayBeGivenUp reports whether so many workers had been killed under a task by a time that it can't be told from one that crashes them.
-func mayBeGivenUp(runs []*span, by time.Time) bool {
+// mayFailCrashLooping reports whether at least killsBeforeFailure workers had been killed under one task by a time.
+// Such a task can't be distinguished from one that crashes its workers.
+func mayFailCrashLooping(runs []*taskRun, by time.Time) bool {
 	killed := map[string]int{}
-	for _, s := range runs {
-		if !s.killed || s.ended.After(by) {
+	for _, run := range runs {
+		if !run.killed || run.ended.After(by) {
 			continue
 		}
-		if killed[s.task]++; killed[s.task] >= lostBefore {
+		if killed[run.task]++; killed[run.task] >= killsBeforeFailure {
 			return true
 		}
 	}
 	return false
 }
 
-// judgeCut holds that a planned end of a box breaks off no call whose request it has read. A store that is slow is no reason for it.
+// judgeCut checks that the planned shutdown of a box cuts off no call whose request the box has read. A slow store
+// is no excuse.
 func (v *Verdict) judgeCut(p *play, c *call) {
-	for _, x := range p.troubles.list {
-		near := x.target == c.box && x.verb == "terminate" && c.ended.After(x.from) && c.ended.Before(x.from.Add(grace+graceSlack))
-		if !near || !p.troubles.calm(c.sent, c.ended, func(y *trouble) bool {
+	for _, period := range p.faults.list {
+		near := period.target == c.box && period.verb == "terminate" && c.ended.After(period.from) && c.ended.Before(period.from.Add(shutdownWithin+shutdownSlack))
+		if !near || !p.faults.undisturbed(c.sent, c.ended, func(y *faultPeriod) bool {
 			return y.verb == "terminate" || strings.HasPrefix(y.target, "w") || y.target == "store" && strings.HasPrefix(y.verb, "slow")
 		}) {
 			continue
 		}
 		v.Checked++
-		if c.Err != nil && !errors.Is(c.Err, context.DeadlineExceeded) && !c.written.IsZero() && c.ended.Sub(c.written) > lossSlack {
-			v.Cuts = append(v.Cuts, fmt.Sprintf("%s, told to end at %s, call from %s to %s: %v", c.box, x.from.Format(clock), c.sent.Format(clock), c.ended.Format(clock), c.Err))
+		if c.Err != nil && !errors.Is(c.Err, context.DeadlineExceeded) && !c.written.IsZero() && c.ended.Sub(c.written) > requestReadWithin {
+			v.CutCalls = append(v.CutCalls, fmt.Sprintf("%s, told to end at %s, call from %s to %s: %v", c.box, period.from.Format(timeFormat), c.sent.Format(timeFormat), c.ended.Format(timeFormat), c.Err))
 		}
 	}
 }
 
-// judgeKeys holds that each version of the configuration is in force in time, and for good.
+// judgeKeys checks that each version of the configuration comes into force in time and stays in force until the next
+// one.
 func (v *Verdict) judgeKeys(p *play) {
-	for _, x := range p.probes {
-		if x.version < 1 || !p.troubles.calm(x.sent, x.sent, func(y *trouble) bool { return strings.HasPrefix(y.target, "w") }) {
+	for _, probe := range p.probes {
+		if probe.version < 1 || !p.faults.undisturbed(probe.sent, probe.sent, func(y *faultPeriod) bool { return strings.HasPrefix(y.target, "w") }) {
 			continue
 		}
-		// The version of the key has come by then, and the one after it has not or has.
-		came, gone := p.troubles.inForce(x.version, x.sent), p.troubles.inForce(x.version+1, x.sent)
-		if !came && !gone {
+		// inForce: the key's version must be in force. nextInForce: the version after it must be in force as well.
+		inForce, nextInForce := p.faults.mustBeInForce(probe.version, probe.sent), p.faults.mustBeInForce(probe.version+1, probe.sent)
+		if !inForce && !nextInForce {
 			continue
 		}
 		v.Checked++
-		if gone && x.taken || came && !gone && !x.taken && !p.troubles.sent(x.version+1, x.sent) {
-			v.Config = append(v.Config, fmt.Sprintf("%s, key of version %d, taken: %t, at %s", x.box, x.version, x.taken, x.sent.Format(clock)))
+		if nextInForce && probe.accepted || inForce && !nextInForce && !probe.accepted && !p.faults.mayBeInForce(probe.version+1, probe.sent) {
+			v.WrongKeys = append(v.WrongKeys, fmt.Sprintf("%s, key of version %d, taken: %t, at %s", probe.box, probe.version, probe.accepted, probe.sent.Format(timeFormat)))
 		}
 	}
 }
 
-// sent reports whether a version was put in force by a time, or may come while a call sent then is answered.
-func (t *troubles) sent(version int, at time.Time) bool {
-	return version-2 < len(t.configured) && version >= 2 && at.Add(probeEvery).After(t.configured[version-2])
+// mayBeInForce reports whether a version was put in force by a time, or may be put in force while a call sent at that
+// time is answered.
+func (h *faultHistory) mayBeInForce(version int, at time.Time) bool {
+	return version-2 < len(h.configured) && version >= 2 && at.Add(probeInterval).After(h.configured[version-2])
 }
 
-// inForce reports whether a version must be in force at a time. The first one is from the beginning.
-func (t *troubles) inForce(version int, at time.Time) bool {
+// mustBeInForce reports whether a version must be in force at a time. The first version is in force from the start.
+func (h *faultHistory) mustBeInForce(version int, at time.Time) bool {
 	if version < 2 {
 		return true
 	}
-	return version-2 < len(t.configured) && at.After(t.configured[version-2].Add(configWithin))
+	return version-2 < len(h.configured) && at.After(h.configured[version-2].Add(configWithin))
 }
--- a/internal/rig/promises_test.go
+++ b/internal/rig/promises_test.go
@@ -7,8 +7,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestMayFail holds which of a job's runs allow that it is shown as failed by second 100: each is "TASK RUN OUTCOME SECOND", where "killed" stands for a worker that
-// the rig has killed under it.
+// TestMayFail checks which runs of a job permit that it is reported as failed by second 100. Each run is "TASK RUN
+// OUTCOME SECOND", where "killed" means that the rig killed the worker during the run.
 func TestMayFail(t *testing.T) {
 	for name, c := range map[string]struct {
 		runs string
@@ -25,23 +25,24 @@
 		"two failed, two killed":        {"a 1 failed 1, a 2 killed 2, a 3 failed 3, a 4 killed 4", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var runs []*span
+			var runs []*taskRun
 			for _, text := range strings.Split(c.runs, ", ") {
-				f := strings.Fields(text)
-				s := &span{task: f[0], run: number(t, f[1]), ended: second(t, f[3]), killed: f[2] == "killed"}
+				fields := strings.Fields(text)
+				s := &taskRun{task: fields[0], run: number(t, fields[1]), ended: second(t, fields[3]), killed: fields[2] == "killed"}
 				if !s.killed {
-					s.outcome = f[2]
+					s.outcome = fields[2]
 				}
 				runs = append(runs, s)
 			}
 			by := second(t, "100")
-			quicktest.Assert(t, usedUp(runs, by) || mayBeGivenUp(runs, by), quicktest.Equals, c.may)
+			quicktest.Assert(t, attemptsUsedUp(runs, by) || mayFailCrashLooping(runs, by), quicktest.Equals, c.may)
 		})
 	}
 }
 
-// TestKilledUnder holds that a worker counts as killed under a run only while the run may have gone on there.
-func TestKilledUnder(t *testing.T) {
+// TestKilledDuringRun checks that a kill of a worker counts against a run only while the run may still have been
+// active: it had not ended and the worker's lease had not expired.
+func TestKilledDuringRun(t *testing.T) {
 	for text, killed := range map[string]bool{
 		"0 a leased 10|1 a began 1|2 a killed":                       true,
 		"0 a leased 10|1 a began 1|2 a ended 1 failed 1|3 a killed":  false,
@@ -55,7 +56,7 @@
 			for _, line := range strings.Split(text, "|") {
 				lines = append(lines, judgeLine(t, strings.Fields(line)))
 			}
-			s := newTrace(lines).spans[0]
+			s := newTrace(lines).runs[0]
 			quicktest.Assert(t, s.killed, quicktest.Equals, killed, quicktest.Commentf("%s", s))
 		})
 	}
--- a/internal/rig/proxy.go
+++ b/internal/rig/proxy.go
@@ -15,19 +15,19 @@
 
 // Modes of a proxy: how it treats connections.
 const (
-	modePass   = "pass"
-	modeClose  = "close"  // Open connections are ended in order, new ones are refused.
-	modeReset  = "reset"  // Open connections are reset, new ones too.
-	modeSilent = "silent" // Bytes are held back, connections stay.
-	modeOneWay = "oneway" // The answers are held back.
-	modeSlow   = "slow"   // Answers come late, by the time after it.
-	modeKeep   = "keep"   // Open connections go on, new ones are silent.
-	modeRefuse = "refuse" // Open connections are ended in order, calls on new ones are answered that nothing was done.
-	modeStale  = "stale"  // Open connections are silent for good, new ones go on.
-	modeTo     = "to"     // It passes on to another address from now on.
+	modePass   = "pass"   // Forwards everything.
+	modeClose  = "close"  // Closes open connections, refuses new ones.
+	modeReset  = "reset"  // Resets open and new connections.
+	modeSilent = "silent" // Keeps connections open but forwards nothing.
+	modeOneWay = "oneway" // Forwards requests but holds answers back.
+	modeSlow   = "slow"   // Delays answers by the duration that follows.
+	modeKeep   = "keep"   // Forwards open connections but nothing on new ones.
+	modeRefuse = "refuse" // Closes open connections, answers calls on new ones with status 503.
+	modeStale  = "stale"  // Forwards nothing more on open connections, but forwards new ones.
+	modeTo     = "to"     // Forwards new connections to the address that follows.
 )
 
-// proxy passes connections on to a target. Make it with newProxy.
+// proxy forwards connections to a target. Create it with newProxy.
 type proxy struct {
 	target, address string
 
@@ -36,18 +36,18 @@
 	mode     string
 	delay    time.Duration
 	listener net.Listener
-	pairs    map[*pair]bool // Those that are open.
+	open     map[*proxiedConnection]bool // Open connections.
 }
 
-// pair is a connection with the one that it is passed on over.
-type pair struct {
+// proxiedConnection is a client's connection with the connection to the target.
+type proxiedConnection struct {
 	client, target *net.TCPConn
-	silent         bool // It was opened while new ones were held back.
-	stale          bool // It is silent for good.
+	silent         bool // It was opened in modeKeep and forwards nothing.
+	stale          bool // It forwards nothing more until its end.
 }
 
 func newProxy(target string, port int) (*proxy, error) {
-	p := &proxy{target: target, address: loopback(port), mode: modePass, pairs: map[*pair]bool{}}
+	p := &proxy{target: target, address: loopback(port), mode: modePass, open: map[*proxiedConnection]bool{}}
 	p.changed = sync.NewCond(&p.mu)
 	return p, p.listen()
 }
@@ -71,74 +71,74 @@
 	return nil
 }
 
-// connect passes one connection on until its end.
+// connect forwards one connection until its end.
 func (p *proxy) connect(client *net.TCPConn) {
 	p.mu.Lock()
-	to, refuse := p.target, p.mode == modeRefuse
+	address, refuse := p.target, p.mode == modeRefuse
 	p.mu.Unlock()
 	if refuse {
 		refuseCall(client)
 		return
 	}
-	target, err := net.Dial("tcp", to)
-	if err != nil { // The process behind has ended: nobody listens from now on.
+	target, err := net.Dial("tcp", address)
+	if err != nil { // The target process has ended: refuse connections from now on, as its own port would.
 		_ = client.Close()
-		_ = p.set(modeClose)
+		_ = p.setMode(modeClose)
 		return
 	}
-	c := &pair{client: client, target: target.(*net.TCPConn)}
+	c := &proxiedConnection{client: client, target: target.(*net.TCPConn)}
 	p.mu.Lock()
-	p.pairs[c], c.silent = true, p.mode == modeKeep
+	p.open[c], c.silent = true, p.mode == modeKeep
 	if p.mode == modeReset || p.mode == modeClose {
 		p.finish(c)
 	}
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.carry(c, c.target, c.client) })
-	both.Go(func() { p.carry(c, c.client, c.target) })
+	both.Go(func() { p.forward(c, c.target, c.client) })
+	both.Go(func() { p.forward(c, c.client, c.target) })
 	both.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.finish(c)
 }
 
-// refuseCall answers the first call of a connection that nothing was done.
+// refuseCall answers the first request of a connection with status 503.
 func refuseCall(client *net.TCPConn) {
 	defer client.Close()
 	if r, err := http.ReadRequest(bufio.NewReader(client)); err == nil {
-		_, _ = io.Copy(io.Discard, r.Body) // What is refused is read, so that the answer is seen.
+		_, _ = io.Copy(io.Discard, r.Body) // The body must be read, or the client may miss the answer.
 		fmt.Fprint(client, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	}
 }
 
-// finish ends a pair, by the mode in order or with a reset. The caller holds the lock.
-func (p *proxy) finish(c *pair) {
-	delete(p.pairs, c)
+// finish closes a pair, with a reset in modeReset. The caller holds the lock.
+func (p *proxy) finish(c *proxiedConnection) {
+	delete(p.open, c)
 	if p.mode == modeReset {
-		_ = c.client.SetLinger(0) // It is closed in any case.
+		_ = c.client.SetLinger(0) // On an error the connection is closed without a reset.
 	}
 	_ = c.client.Close()
 	_ = c.target.Close()
 	p.changed.Broadcast()
 }
 
-// carry passes bytes, and their end, on in one direction.
-func (p *proxy) carry(c *pair, to, from *net.TCPConn) {
+// forward forwards the bytes of one direction until their end.
+func (p *proxy) forward(c *proxiedConnection, to, from *net.TCPConn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if !p.await(c, from == c.client) {
+		if !p.awaitForwarding(c, from == c.client) {
 			return
 		}
 		if _, failed := to.Write(buffer[:n]); err != nil || failed != nil {
-			_ = to.CloseWrite() // The other side may have ended already.
+			_ = to.CloseWrite() // The other side may have closed already.
 			return
 		}
 	}
 }
 
-// await waits until bytes may go on and reports whether the pair is still open.
-func (p *proxy) await(c *pair, request bool) bool {
+// awaitForwarding waits until the mode lets bytes pass and reports whether the pair is still open.
+func (p *proxy) awaitForwarding(c *proxiedConnection, request bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == modeSlow && !request {
@@ -147,23 +147,23 @@
 		time.Sleep(delay)
 		p.mu.Lock()
 	}
-	for p.pairs[c] && (c.stale || c.silent || p.mode == modeSilent || p.mode == modeOneWay && !request) {
+	for p.open[c] && (c.stale || c.silent || p.mode == modeSilent || p.mode == modeOneWay && !request) {
 		p.changed.Wait()
 	}
-	return p.pairs[c]
+	return p.open[c]
 }
 
-// set changes the mode.
-func (p *proxy) set(line string) (err error) {
+// setMode changes the mode by a command line.
+func (p *proxy) setMode(line string) (err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.mode
+	earlier := p.mode
 	word, argument, _ := strings.Cut(line, " ")
 	p.mode = word
 	switch p.mode {
 	case modeStale:
 		p.mode = modePass
-		for c := range p.pairs {
+		for c := range p.open {
 			c.stale = true
 		}
 	case modeTo:
@@ -172,21 +172,21 @@
 		if p.mode == modeClose {
 			_ = p.listener.Close()
 		}
-		for c := range p.pairs {
+		for c := range p.open {
 			p.finish(c)
 		}
 	case modeSlow:
 		p.delay, err = time.ParseDuration(argument)
 	case modePass:
-		for c := range p.pairs {
+		for c := range p.open {
 			c.silent = false
 		}
 	case modeSilent, modeOneWay, modeKeep:
 	default:
-		err = errors.Errorf("rig: a proxy knows no mode %q", word)
+		err = errors.Errorf("rig: unknown mode of a proxy: %q", word)
 	}
 	p.changed.Broadcast()
-	if err == nil && before == modeClose && p.mode != modeClose {
+	if err == nil && earlier == modeClose && p.mode != modeClose {
 		err = p.listen()
 	}
 	return err
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,5 +1,6 @@
-// Package rig plays scenarios with real processes over loopback: boxes, workers, a store, and a proxy in front of each that can be
-// closed, silenced or slowed. It judges what the workers did.
+// Package rig plays scenarios with real processes over loopback: boxes, workers, a store, and a proxy in front of
+// each that can be closed, silenced or slowed. A play is one run of a scenario. Afterwards the rig checks what the
+// workers did and what clients were told.
 package rig
 
 import (
@@ -20,66 +21,64 @@
 	"github.com/pulleyring/pulleyring/platform/standin"
 )
 
-// Options is how a scenario is played.
+// Options configures a play.
 type Options struct {
-	Program string   // This program; its processes are started from it.
-	Env     []string // More variables for them.
-	Dir     string   // Where logs are kept.
+	Program string   // Path of this program, from which the processes are started.
+	Env     []string // Additional environment variables of the processes.
+	Dir     string   // Directory of the logs.
 	Out     io.Writer
 }
 
 const (
-	// startsWithin bounds the start of all processes.
-	startsWithin = 20 * time.Second
-	// pollEvery is how often a state is asked for.
-	pollEvery = 250 * time.Millisecond
-	// untilMost is the longest scenario.
-	untilMost = 10 * time.Minute
-	// roleLimit ends a process of the rig's own that nobody has ended.
-	roleLimit = untilMost + time.Minute
+	startsWithin = 20 * time.Second       // startsWithin limits the time in which all processes must start.
+	pollInterval = 250 * time.Millisecond // pollInterval is the interval at which a state is polled.
+	maxLength    = 10 * time.Minute       // maxLength limits the length of a scenario.
+	// maxRoleTime is the time after which one of the rig's own processes ends by itself, if the rig did not end it.
+	maxRoleTime = maxLength + time.Minute
 )
 
-// play is one play of a scenario.
+// play is one run of a scenario.
 type play struct {
 	*Scenario
 	Options
 
-	processes map[string]*process // By the names that steps use; those of boxes and workers stand for their last life.
-	order     []*process
-	store     *process
-	client    http.Client
-	ports     *ports
-	boxes     []*boxAt
-	lives     map[string]int    // By worker.
-	fixed     map[string]string // What a target that was looked up stands for.
-	group     sync.WaitGroup
-	began     time.Time // Steps are due from here.
-	troubles  troubles
-	exits     []string // Boxes that ended by themselves.
+	// By the names that steps use. Names of boxes and workers map to their latest process.
+	processes       map[string]*process
+	order           []*process
+	store           *process
+	client          http.Client
+	ports           *ports
+	boxes           []*boxInstance
+	restarts        map[string]int    // Number of restarts, by worker.
+	resolvedTargets map[string]string // Processes to which the targets "holder" and "loaded" were resolved.
+	group           sync.WaitGroup
+	began           time.Time // Time from which steps are due.
+	faults          faultHistory
+	exits           []string // Boxes that ended unexpectedly, or did not end where they had to.
 
-	mu        sync.Mutex
-	lines     []Line
-	holder    string // The box that took over last.
-	jobs      []*handedIn
-	calls     []call
-	probes    []probe
-	outranked []*process // Boxes beside which a second process was started.
-	version   int        // Of the configuration.
+	mu         sync.Mutex
+	lines      []Line
+	holder     string // Box that took over most recently.
+	jobs       []*submittedJob
+	calls      []call
+	probes     []probe
+	superseded []*process // Boxes of which a second process was started.
+	version    int        // Of the configuration.
 }
 
-// boxAt is a box and where it is found.
-type boxAt struct {
+// boxInstance is a box with its addresses and settings.
+type boxInstance struct {
 	name, front, ready, file string
 	settings                 standin.Box
 	reloads                  int
-	// in says that new connections come to it; missed is how often in a row it was not ready.
-	in     bool
-	missed int
+	inRotation               bool // It gets new connections.
+	missedProbes             int  // Consecutive readiness probes without success.
 }
 
-// Play plays a scenario and judges it. Every process that it starts has ended when it returns.
+// Play plays a scenario and checks the result. Every process that it started has ended when it returns.
 func Play(ctx context.Context, s *Scenario, o Options) (*Verdict, error) {
-	// The kernel ends a process when the thread that started it ends, so that none outlives the rig.
+	// Pdeathsig is delivered when the thread that started a process ends. Keeping this thread ensures that no
+	// process outlives the rig, and that none is ended early.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	ports, err := newPorts()
@@ -88,13 +87,13 @@
 	}
 	defer ports.close()
 	ctx, cancel := context.WithTimeout(ctx, startsWithin+s.Until)
-	p := &play{ports: ports, Scenario: s, troubles: troubles{lease: s.Lease}, Options: o, processes: map[string]*process{}, fixed: map[string]string{}, lives: map[string]int{}, version: 1}
-	err = p.begin(ctx)
+	p := &play{ports: ports, Scenario: s, faults: faultHistory{lease: s.Lease}, Options: o, processes: map[string]*process{}, resolvedTargets: map[string]string{}, restarts: map[string]int{}, version: 1}
+	err = p.startAll(ctx)
 	if err == nil {
-		err = p.carryOutAll(ctx)
+		err = p.executeSteps(ctx)
 	}
 	cancel()
-	for i := len(p.order) - 1; i >= 0; i-- { // The boxes before those that they speak to.
+	for i := len(p.order) - 1; i >= 0; i-- { // Boxes end before the processes that they connect to.
 		p.order[i].kill()
 	}
 	p.group.Wait()
@@ -104,33 +103,34 @@
 	return p.verdict(), nil
 }
 
-// begin starts everything and waits until a box schedules.
-func (p *play) begin(ctx context.Context) (err error) {
-	if p.store, err = p.role(ctx, "store", Role{Kind: "store", Heartbeat: p.Heartbeat}); err != nil {
+// startAll starts all processes and waits until a box schedules.
+func (p *play) startAll(ctx context.Context) (err error) {
+	if p.store, err = p.startRole(ctx, "store", Role{Kind: "store", Heartbeat: p.Heartbeat}); err != nil {
 		return err
 	}
 	for i := range p.Workers {
-		if err := p.beginWorker(ctx, fmt.Sprintf("w%d", i+1)); err != nil {
+		if err := p.startWorker(ctx, fmt.Sprintf("w%d", i+1)); err != nil {
 			return err
 		}
 	}
 	for i := range p.Boxes {
-		if err := p.beginBox(ctx, fmt.Sprintf("box-%d", i+1)); err != nil {
+		if err := p.startBoxWithProxy(ctx, fmt.Sprintf("box-%d", i+1)); err != nil {
 			return err
 		}
 	}
 	for deadline := time.Now().Add(startsWithin); !p.allReady(); {
-		if !interval.Sleep(ctx, pollEvery) || time.Now().After(deadline) {
-			return errors.New("rig: the boxes are not ready in time")
+		if !interval.Sleep(ctx, pollInterval) || time.Now().After(deadline) {
+			return errors.New("rig: the boxes did not become ready in time")
 		}
 	}
-	interval.Sleep(ctx, time.Second) // Workers are recorded by now; a box learns of them with its next read of the records.
+	// The workers have written their records; the boxes read them within this time.
+	interval.Sleep(ctx, time.Second)
 	return nil
 }
 
 func (p *play) allReady() bool {
 	for _, b := range p.boxes {
-		if b.in = standin.Ready(&p.client, b.ready); !b.in {
+		if b.inRotation = standin.Ready(&p.client, b.ready); !b.inRotation {
 			return false
 		}
 	}
@@ -139,50 +139,51 @@
 	return p.holder != ""
 }
 
-func (p *play) beginWorker(ctx context.Context, name string) error {
-	w, err := p.role(ctx, name, p.worker(name, name))
+func (p *play) startWorker(ctx context.Context, name string) error {
+	w, err := p.startRole(ctx, name, p.workerRole(name, name))
 	if err != nil {
 		return err
 	}
-	before, err := p.proxy(ctx, name+".proxy", w.address)
+	proxy, err := p.startProxy(ctx, name+".proxy", w.address)
 	if err != nil {
 		return err
 	}
-	return w.tell("record " + before.address)
+	return w.sendLine("record " + proxy.address)
 }
 
-func (p *play) worker(life, id string) Role {
-	return Role{Kind: "worker", Worker: life, ID: id, Slots: int64(p.Slots), Lease: p.Lease, Heartbeat: p.Heartbeat, Drift: p.Drift}
+func (p *play) workerRole(incarnation, id string) Role {
+	return Role{Kind: "worker", Worker: incarnation, ID: id, Slots: int64(p.Slots), Lease: p.Lease, Heartbeat: p.Heartbeat, Drift: p.Drift}
 }
 
-// returnWorker starts another life of a worker, at the same address, under its name or under a new one; the one before ends, if it still lives.
+// returnWorker restarts a worker behind the same proxy, under its own name or under a new one. It kills the earlier
+// incarnation if that still runs.
 func (p *play) returnWorker(ctx context.Context, name string, again bool) error {
 	before, proxy := p.processes[name], p.processes[name+".proxy"]
 	if before == nil || proxy == nil {
 		return errors.Errorf("there is no worker %q", name)
 	}
-	p.noteKilled(before)
+	p.recordKill(before)
 	before.kill()
-	p.lives[name]++
-	life := fmt.Sprintf("%s-%d", name, p.lives[name]+1)
-	id := life
+	p.restarts[name]++
+	incarnation := fmt.Sprintf("%s-%d", name, p.restarts[name]+1)
+	id := incarnation
 	if again {
 		id = name
 	}
-	w, err := p.role(ctx, life, p.worker(life, id))
+	w, err := p.startRole(ctx, incarnation, p.workerRole(incarnation, id))
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.processes[name], p.processes[life+".proxy"] = w, proxy
+	p.processes[name], p.processes[incarnation+".proxy"] = w, proxy
 	p.mu.Unlock()
-	if err := proxy.tell(modeTo + " " + w.address); err != nil {
+	if err := proxy.sendLine(modeTo + " " + w.address); err != nil {
 		return err
 	}
-	return w.tell("record " + proxy.address)
+	return w.sendLine("record " + proxy.address)
 }
 
-// restartBox starts a box again; the process before ends, if it still lives.
+// restartBox restarts a box. It kills the earlier process if that still runs.
 func (p *play) restartBox(name string) error {
 	before := p.processes[name]
 	if before == nil {
@@ -191,70 +192,70 @@
 	before.kill()
 	for _, b := range p.boxes {
 		if b.name == name {
-			_, err := p.start(name, []string{"box"}, platform.EnvSettings+"="+b.file, p.noteHolder)
+			_, err := p.startProgram(name, []string{"box"}, platform.EnvSettings+"="+b.file, p.readHolder)
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *play) beginBox(ctx context.Context, name string) error {
-	before, err := p.proxy(ctx, name+".store", p.store.address)
+func (p *play) startBoxWithProxy(ctx context.Context, name string) error {
+	proxy, err := p.startProxy(ctx, name+".store", p.store.address)
 	if err != nil {
 		return err
 	}
-	return p.placeBox(name, before.address, name+".conf")
+	return p.startBox(name, proxy.address, name+".conf")
 }
 
-// beginTwin starts a second process of a box, at other addresses; the one before is to end by itself.
-func (p *play) beginTwin(first *process) error {
+// startDuplicateBox starts a second process of a box at other addresses. The first one must then end by itself.
+func (p *play) startDuplicateBox(first *process) error {
 	path := p.processes[first.name+".store"]
 	if path == nil {
 		return errors.Errorf("there is no box %q", first.name)
 	}
-	first.asked = true
-	p.outranked = append(p.outranked, first)
-	return p.placeBox(first.name, path.address, fmt.Sprintf("%s-%d.conf", first.name, len(p.outranked)+1))
+	first.exitExpected = true
+	p.superseded = append(p.superseded, first)
+	return p.startBox(first.name, path.address, fmt.Sprintf("%s-%d.conf", first.name, len(p.superseded)+1))
 }
 
-// placeBox starts a box that reaches the store at an address, with settings of its own.
-func (p *play) placeBox(name, store, settings string) (err error) {
+// startBox starts a box with its own settings file, which names the address of the store.
+func (p *play) startBox(name, storeAddress, settings string) (err error) {
 	var ports [3]int
 	for k := range ports {
 		if ports[k], err = p.ports.free(); err != nil {
 			return err
 		}
 	}
-	b := standin.Box{Name: name, Front: loopback(ports[0]), Ready: loopback(ports[1]), Relay: ports[2], Store: store, MaxLease: p.Lease}
+	b := standin.Box{Name: name, Front: loopback(ports[0]), Ready: loopback(ports[1]), Relay: ports[2], Store: storeAddress, MaxLease: p.Lease}
 	if p.Alone != 0 {
 		b.Relay = 0
 	}
 	file := filepath.Join(p.Dir, settings)
-	p.boxes = append(p.boxes, &boxAt{name: name, front: b.Front, ready: b.Ready, file: file, settings: b})
+	p.boxes = append(p.boxes, &boxInstance{name: name, front: b.Front, ready: b.Ready, file: file, settings: b})
 	if err := os.WriteFile(file, b.Settings(), 0o600); err != nil {
 		return errors.Wrap(err, "rig: unable to write settings")
 	}
-	_, err = p.start(name, []string{"box"}, platform.EnvSettings+"="+file, p.noteHolder)
+	_, err = p.startProgram(name, []string{"box"}, platform.EnvSettings+"="+file, p.readHolder)
 	return err
 }
 
-// proxy starts a proxy before an address.
-func (p *play) proxy(ctx context.Context, name, to string) (*process, error) {
+// startProxy starts a proxy in front of an address.
+func (p *play) startProxy(ctx context.Context, name, target string) (*process, error) {
 	port, err := p.ports.free()
 	if err != nil {
 		return nil, err
 	}
-	return p.role(ctx, name, Role{Kind: "proxy", To: to, Port: port})
+	return p.startRole(ctx, name, Role{Kind: "proxy", To: target, Port: port})
 }
 
-// role starts one of the rig's own processes and waits until it listens.
-func (p *play) role(ctx context.Context, name string, r Role) (*process, error) {
+// startRole starts one of the rig's own processes and waits until it listens.
+func (p *play) startRole(ctx context.Context, name string, r Role) (*process, error) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return nil, errors.Wrap(err, "rig: unable to encode a role")
 	}
 	address := make(chan string, 1)
-	pr, err := p.start(name, []string{"rig", "role", string(raw)}, "", func(text string) { p.note(text, address) })
+	pr, err := p.startProgram(name, []string{"rig", "role", string(raw)}, "", func(text string) { p.handleLine(text, address) })
 	if err != nil {
 		return nil, err
 	}
@@ -267,12 +268,12 @@
 	case pr.address = <-address:
 		return pr, nil
 	case <-ctx.Done():
-		return nil, errors.Errorf("rig: %s does not listen", name)
+		return nil, errors.Errorf("rig: %s did not start to listen in time", name)
 	}
 }
 
-// note takes in a line of one of the rig's own processes.
-func (p *play) note(text string, address chan<- string) {
+// handleLine handles a line from one of the rig's own processes.
+func (p *play) handleLine(text string, address chan<- string) {
 	var l Line
 	if json.Unmarshal([]byte(text), &l) != nil {
 		return
@@ -281,8 +282,8 @@
 	case eventListening:
 		address <- l.Address
 		return
-	case eventRecord, eventLeft: // The platform knows of a worker that has left.
-		_ = p.store.tell("record " + l.ID + " " + string(l.Record)) // The store ends only with the rig.
+	case eventRecord, eventLeft: // The platform removes the record of a worker that has left.
+		_ = p.store.sendLine("record " + l.ID + " " + string(l.Record)) // The store runs as long as the rig.
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -292,13 +293,13 @@
 	}
 	for _, pr := range p.order {
 		if pr.isWorker && pr.name != l.Worker {
-			_ = pr.tell("member " + text) // One that has ended has no members.
+			_ = pr.sendLine("member " + text) // A process that has ended needs no events.
 		}
 	}
 }
 
-// noteHolder takes in from a box's log that it schedules.
-func (p *play) noteHolder(text string) {
+// readHolder sets the scheduling box when a line of a box's log reports that it took over.
+func (p *play) readHolder(text string) {
 	var l struct {
 		Message string `json:"msg"`
 		Box     string `json:"box"`
@@ -311,8 +312,8 @@
 	p.holder = l.Box
 }
 
-// start starts a process of this program and passes each line of its standard output on.
-func (p *play) start(name string, args []string, env string, seen func(text string)) (*process, error) {
+// startProgram starts a process of this program and passes each line of its standard output to handle.
+func (p *play) startProgram(name string, args []string, env string, handle func(text string)) (*process, error) {
 	pr, err := startProcess(p.Program, args, append(p.Env, env), filepath.Join(p.Dir, name))
 	if err != nil {
 		return nil, err
@@ -321,6 +322,6 @@
 	p.processes[name] = pr
 	p.order = append(p.order, pr)
 	p.mu.Unlock()
-	p.group.Go(func() { pr.follow(seen) })
+	p.group.Go(func() { pr.copyOutput(handle) })
 	return pr, nil
 }
--- a/internal/rig/role.go
+++ b/internal/rig/role.go
@@ -21,7 +21,7 @@
 	"github.com/pulleyring/pulleyring/platform/standin"
 )
 
-// Events of lines.
+// Values of Line.Event.
 const (
 	eventListening    = "listening"
 	eventRecord       = "record"
@@ -34,36 +34,37 @@
 	eventKilled       = "killed"
 )
 
-// Line is what a role prints of what has happened there.
+// Line is one JSON line that a process of the rig prints to report an event.
 type Line struct {
-	At      time.Time       `json:"at"`
-	Worker  string          `json:"worker,omitempty"` // A life of it.
-	ID      string          `json:"id,omitempty"`     // Of a record.
-	Event   string          `json:"event"`
-	Address string          `json:"address,omitempty"`
-	Record  json.RawMessage `json:"record,omitempty"` // What the worker writes into the store; none where it has left.
+	At      time.Time `json:"at"`
+	Worker  string    `json:"worker,omitempty"` // Name of one incarnation of a worker.
+	ID      string    `json:"id,omitempty"`     // Key of the worker's record.
+	Event   string    `json:"event"`
+	Address string    `json:"address,omitempty"`
+	// The record to write to the store; empty if the worker has left.
+	Record  json.RawMessage `json:"record,omitempty"`
 	Task    string          `json:"task,omitempty"`
 	Run     int             `json:"run,omitempty"`
 	Outcome string          `json:"outcome,omitempty"`
 	Number  int64           `json:"number,omitempty"` // Of an end, or of the last end listed or acknowledged.
-	Until   time.Time       `json:"until,omitzero"`   // Of a lease.
-	Gang    int             `json:"gang,omitempty"`   // Members of the gang of a run.
+	Until   time.Time       `json:"until,omitzero"`   // Expiry of a lease.
+	Gang    int             `json:"gang,omitempty"`   // Number of members of the run's gang.
 }
 
-// Role is what one of the rig's own processes is told at its start.
+// Role is the JSON argument that tells one of the rig's own processes what to do.
 type Role struct {
 	Kind      string // store, worker, proxy or busy.
-	Worker    string // One life of a worker: the name that it is told apart by in a play.
-	ID        string // The name under which it records itself; empty for the same.
-	To        string // Where a proxy passes connections on.
-	Port      int    // Where it listens.
+	Worker    string // Name of one incarnation of a worker, unique in a play.
+	ID        string // Name under which the worker records itself; empty if it is the same as Worker.
+	To        string // Address to which a proxy forwards connections.
+	Port      int    // Port on which a proxy listens.
 	Slots     int64
 	Lease     time.Duration
 	Heartbeat time.Duration
-	Drift     float64 // Share by which a worker's clock is slow.
+	Drift     float64 // Fraction by which a worker's clock runs slow.
 }
 
-// printer prints lines.
+// printer writes lines, safe for concurrent use.
 type printer struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -79,38 +80,39 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, _ = p.out.Write(append(raw, '\n')) // Without the rig nobody reads it.
+	// A write error means that the rig has ended, so nobody reads the line.
+	_, _ = p.out.Write(append(raw, '\n'))
 }
 
-// RunRole runs one of the rig's own processes, told by the JSON of a Role, until its standard input ends.
+// RunRole runs one of the rig's own processes, described by the JSON of a Role, until its standard input ends.
 func RunRole(raw string, in io.Reader, out io.Writer) error {
 	var r Role
 	if err := json.Unmarshal([]byte(raw), &r); err != nil {
 		return errors.Wrap(err, "rig: unable to read a role")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), roleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), maxRoleTime)
 	defer cancel()
-	obey, err := r.begin(ctx, &printer{out: out})
+	execute, err := r.begin(ctx, &printer{out: out})
 	if err != nil {
 		return err
 	}
-	time.AfterFunc(roleLimit, func() { os.Exit(1) })
+	time.AfterFunc(maxRoleTime, func() { os.Exit(1) })
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
-		if err := obey(lines.Text()); err != nil {
+		if err := execute(lines.Text()); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
-// begin starts what a role does and returns what obeys its lines.
-func (r *Role) begin(ctx context.Context, out *printer) (obey func(line string) error, err error) {
+// begin starts the process's work and returns the function that executes its command lines.
+func (r *Role) begin(ctx context.Context, out *printer) (execute func(line string) error, err error) {
 	switch r.Kind {
 	case "store":
 		s := standin.NewStore(r.Heartbeat)
 		go s.Run(ctx)
-		obey = func(line string) error {
+		execute = func(line string) error {
 			word, rest, _ := strings.Cut(line, " ")
 			first, more, _ := strings.Cut(rest, " ")
 			if word == "record" {
@@ -119,16 +121,16 @@
 			}
 			return s.Disturb(word, first)
 		}
-		return obey, serve(s.Handler(), out)
+		return execute, serve(s.Handler(), out)
 	case "worker":
 		w := newWorker(ctx, r, out)
-		return func(line string) error { return w.obey(ctx, line) }, serve(w.face.Handler(), out)
+		return func(line string) error { return w.execute(ctx, line) }, serve(w.control.Handler(), out)
 	case "proxy":
 		p, err := newProxy(r.To, r.Port)
 		if err == nil {
 			out.print(Line{Event: eventListening, Address: p.address})
 		}
-		return p.set, err
+		return p.setMode, err
 	case "busy":
 		go keepBusy(ctx)
 		out.print(Line{Event: eventListening})
@@ -145,55 +147,58 @@
 	}
 }
 
-// serve serves on a free port and prints where.
+// serve serves on a free port and prints its address.
 func serve(handler http.Handler, out *printer) error {
 	l, err := net.Listen("tcp", loopback(0))
 	if err != nil {
 		return errors.Wrap(err, "rig: unable to listen")
 	}
-	go func() { _ = http.Serve(l, handler) }() // It ends with the process.
+	go func() { _ = http.Serve(l, handler) }() // It runs until the process ends.
 	out.print(Line{Event: eventListening, Address: l.Addr().String()})
 	return nil
 }
 
-// slot is what a task takes.
-var slot = job.Resources{MilliCPU: 1000, MemoryMB: 256}
+// taskResources is the resources that a task uses.
+var taskResources = job.Resources{MilliCPU: 1000, MemoryMB: 256}
 
-// worker is the process of a worker.
+// worker is the state of a worker process.
 type worker struct {
-	life      string // As it is told apart in a play.
-	face      standin.Worker
-	out       *printer
-	heartbeat time.Duration
+	incarnation string // Name of this incarnation, unique in a play.
+	control     standin.Worker
+	out         *printer
+	heartbeat   time.Duration
 
 	mu       sync.Mutex
 	silent   bool // It writes no record.
 	sequence int64
 	running  int
-	leaves   time.Duration // How long after its last run has ended its process does: negative for never, 0 for before anybody is told.
+	// Time between the end of its last run and the end of the process. Negative if it does not leave, 0 to end
+	// before the end of the run is reported.
+	leaveDelay time.Duration
 }
 
 func newWorker(ctx context.Context, r *Role, out *printer) *worker {
-	w := &worker{life: r.Worker, out: out, heartbeat: r.Heartbeat, leaves: -1}
-	record := &w.face.Record
+	w := &worker{incarnation: r.Worker, out: out, heartbeat: r.Heartbeat, leaveDelay: -1}
+	record := &w.control.Record
 	record.ID, record.Service, record.Hall, record.Labels = cmp.Or(r.ID, r.Worker), standin.Service, standin.Hall, []string{"kind", "rack"}
-	record.Capacity = job.Resources{MilliCPU: r.Slots * slot.MilliCPU, MemoryMB: r.Slots * slot.MemoryMB}
-	w.face.Fleet = emulator.NewFleet(ctx, r.Lease, time.Second)
-	w.face.Fleet.Observe = w.observe
-	w.face.Listed = func(n int64) { out.print(Line{Worker: r.Worker, Event: eventListed, Number: n}) }
-	w.face.Fleet.SetDrift(r.Drift)
-	*record = w.face.Fleet.Add(*record)
+	record.Capacity = job.Resources{MilliCPU: r.Slots * taskResources.MilliCPU, MemoryMB: r.Slots * taskResources.MemoryMB}
+	w.control.Fleet = emulator.NewFleet(ctx, r.Lease, time.Second)
+	w.control.Fleet.Observe = w.observe
+	w.control.Listed = func(n int64) { out.print(Line{Worker: r.Worker, Event: eventListed, Number: n}) }
+	w.control.Fleet.SetDrift(r.Drift)
+	*record = w.control.Fleet.Add(*record)
 	return w
 }
 
-// kinds are the words for events of the emulator's.
-var kinds = map[emulator.EventKind]string{
+// eventNames maps the emulator's events to the values of Line.Event.
+var eventNames = map[emulator.EventKind]string{
 	emulator.Began: eventBegan, emulator.Ended: eventEnded, emulator.Acknowledged: eventAcknowledged, emulator.Leased: eventLeased,
 }
 
-// observe prints an event, and ends the process of a worker that leaves with its last run.
+// observe prints an event of the emulator. It ends the process when the worker is leaving and its last run has
+// ended.
 func (w *worker) observe(e emulator.Event) {
-	l := Line{At: e.At, Worker: w.life, Event: kinds[e.Kind], Run: e.Run, Number: e.Number, Until: e.Until, Gang: e.Gang}
+	l := Line{At: e.At, Worker: w.incarnation, Event: eventNames[e.Kind], Run: e.Run, Number: e.Number, Until: e.Until, Gang: e.Gang}
 	if e.Run > 0 {
 		l.Task = e.Task.String()
 	}
@@ -208,23 +213,23 @@
 		w.running++
 	case emulator.Ended:
 		w.running--
-		if w.running == 0 && w.leaves == 0 {
+		if w.running == 0 && w.leaveDelay == 0 {
 			w.leave()
 		}
-		if w.running == 0 && w.leaves > 0 {
-			time.AfterFunc(w.leaves, w.leave)
+		if w.running == 0 && w.leaveDelay > 0 {
+			time.AfterFunc(w.leaveDelay, w.leave)
 		}
 	}
 }
 
-// leave ends the process.
+// leave reports that the worker has left and ends the process.
 func (w *worker) leave() {
-	w.out.print(Line{Worker: w.life, ID: w.face.Record.ID, Event: eventLeft})
+	w.out.print(Line{Worker: w.incarnation, ID: w.control.Record.ID, Event: eventLeft})
 	os.Exit(0)
 }
 
-// obey carries a line out.
-func (w *worker) obey(ctx context.Context, line string) (err error) {
+// execute executes a command line.
+func (w *worker) execute(ctx context.Context, line string) (err error) {
 	word, argument, _ := strings.Cut(line, " ")
 	number := 0
 	switch word {
@@ -232,47 +237,47 @@
 		number, err = strconv.Atoi(argument)
 	}
 	if err != nil {
-		return errors.Wrap(err, "rig: a worker's number")
+		return errors.Wrap(err, "rig: unable to read the number in a worker's command")
 	}
-	id := w.face.Record.ID
+	id := w.control.Record.ID
 	switch word {
-	case "record": // Its record names this address from now on.
-		w.change(func() { w.face.Record.Address = argument })
-		go interval.Every(ctx, w.heartbeat, func(context.Context) { w.beat() })
-	case "quiet": // It writes no record; the one that is there lapses.
-		w.change(func() { w.silent = true })
-	case "unrecord": // Its record goes at once.
-		w.change(func() { w.silent = true })
-		w.out.print(Line{Worker: w.life, ID: id, Event: eventRecord})
+	case "record": // The worker's record carries this address from now on.
+		w.update(func() { w.control.Record.Address = argument })
+		go interval.Every(ctx, w.heartbeat, func(context.Context) { w.printRecord() })
+	case "quiet": // It stops writing its record, so that the existing one expires.
+		w.update(func() { w.silent = true })
+	case "unrecord": // It removes its record at once.
+		w.update(func() { w.silent = true })
+		w.out.print(Line{Worker: w.incarnation, ID: id, Event: eventRecord})
 	case "beat":
-		w.change(func() { w.silent = false })
-		w.beat()
-	case "drain": // It says that it leaves after a time.
-		w.change(func() { w.face.Record.Draining = true; w.face.Record.Leaves, err = time.ParseDuration(argument) })
-		w.beat()
+		w.update(func() { w.silent = false })
+		w.printRecord()
+	case "drain": // It announces that it leaves after a time.
+		w.update(func() { w.control.Record.Draining = true; w.control.Record.Leaves, err = time.ParseDuration(argument) })
+		w.printRecord()
 	case "leave":
 		w.leave()
-	case "leave_after_end": // It ends so long after its last run.
-		w.change(func() { w.leaves, err = time.ParseDuration(argument) })
-	case "mute": // So many looks get no answer.
-		return w.face.Fleet.Mute(id, number)
-	case "late": // So many orders get no answer and are carried out late.
-		return w.face.Fleet.Late(id, number)
+	case "leave_after_end": // Its process ends this long after its last run.
+		w.update(func() { w.leaveDelay, err = time.ParseDuration(argument) })
+	case "mute": // This many polls get no answer.
+		return w.control.Fleet.Mute(id, number)
+	case "late": // This many commands get no answer and are executed late.
+		return w.control.Fleet.Late(id, number)
 	case "member":
-		return w.hear(argument)
+		return w.applyMemberEvent(argument)
 	case "fail":
-		return w.face.Fleet.Fail(id, argument == "on")
+		return w.control.Fleet.Fail(id, argument == "on")
 	default:
-		return errors.Errorf("rig: a worker does not know %q", line)
+		return errors.Errorf("rig: unknown command of a worker: %q", line)
 	}
 	return err
 }
 
-// hear takes in what a member of a gang on another worker has done.
-func (w *worker) hear(raw string) error {
+// applyMemberEvent applies an event of a gang member that runs on another worker.
+func (w *worker) applyMemberEvent(raw string) error {
 	var l Line
 	if err := json.Unmarshal([]byte(raw), &l); err != nil {
-		return errors.Wrap(err, "rig: unable to read of a member")
+		return errors.Wrap(err, "rig: unable to read an event of a gang member")
 	}
 	task, err := job.ParseTask(l.Task)
 	e := emulator.Event{Kind: emulator.Began, Task: task, Run: l.Run, Gang: l.Gang, Outcome: job.GangBroken}
@@ -282,27 +287,27 @@
 	if l.Outcome == job.Succeeded.String() {
 		e.Outcome = job.Succeeded
 	}
-	w.face.Fleet.Tell(e)
+	w.control.Fleet.Tell(e)
 	return err
 }
 
-func (w *worker) change(do func()) {
+func (w *worker) update(do func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	do()
 }
 
-// beat prints the worker's record, which the rig passes on to the store.
-func (w *worker) beat() {
+// printRecord prints the worker's record, which the rig forwards to the store.
+func (w *worker) printRecord() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.silent {
 		return
 	}
 	w.sequence++
-	record, err := standin.RecordOf(&w.face.Record, w.sequence)
+	record, err := standin.RecordOf(&w.control.Record, w.sequence)
 	if err != nil {
-		panic(err) // It is made of numbers and texts.
+		panic(err) // The record holds only numbers and strings, which can always be encoded.
 	}
-	w.out.print(Line{Worker: w.life, ID: w.face.Record.ID, Event: eventRecord, Record: record})
+	w.out.print(Line{Worker: w.incarnation, ID: w.control.Record.ID, Event: eventRecord, Record: record})
 }
--- a/internal/rig/rules_test.go
+++ b/internal/rig/rules_test.go
@@ -17,13 +17,14 @@
 	"github.com/pulleyring/pulleyring/internal/rig"
 )
 
-// envRules is set to a number of seeds for TestRulesCaught, which builds the program without each rule and takes minutes for each.
+// envRules is set to a number of seeds to enable TestRulesCaught, which builds the program without each rule and
+// takes minutes per rule.
 const envRules = "PULLEYRING_RULES"
 
-// rule is a safety rule of the product, and how it is dropped.
+// rule is a safety rule of the product, with the change of the source that drops it.
 type rule struct {
-	name, file, text, without string
-	scenario                  string // One that catches what the seeds may miss; empty for none.
+	name, file, text, replacement string
+	scenario                      string // A scenario that detects what the seeds may miss; empty if there is none.
 }
 
 // readRules reads testdata/rules.txt.
@@ -40,7 +41,7 @@
 			case strings.HasPrefix(line, "-"):
 				r.text += line[1:] + "\n"
 			case strings.HasPrefix(line, "+"):
-				r.without += line[1:] + "\n"
+				r.replacement += line[1:] + "\n"
 			}
 		}
 		rules = append(rules, r)
@@ -48,25 +49,25 @@
 	return rules
 }
 
-// source is the file of a rule, and the same without the rule.
+// source returns the path of a rule's file, and the file's text without the rule.
 func (r *rule) source(t *testing.T) (path, without string) {
 	path, err := filepath.Abs(filepath.Join("..", "..", r.file))
 	quicktest.Assert(t, err, quicktest.IsNil)
 	raw, err := os.ReadFile(path)
 	quicktest.Assert(t, err, quicktest.IsNil)
 	quicktest.Assert(t, strings.Count(string(raw), r.text), quicktest.Equals, 1, quicktest.Commentf("%s: %s", r.name, r.file))
-	return path, strings.Replace(string(raw), r.text, r.without, 1)
+	return path, strings.Replace(string(raw), r.text, r.replacement, 1)
 }
 
-// TestRules holds that the rules stand where testdata/rules.txt drops them.
+// TestRules checks that the source text that testdata/rules.txt drops for each rule still exists exactly once.
 func TestRules(t *testing.T) {
 	for _, r := range readRules(t) {
 		r.source(t)
 	}
 }
 
-// TestRulesCaught shows that the checks of the soak catch what they are for: without each of the rules, drawn plays must break a promise within a
-// few seeds. It is started by hand.
+// TestRulesCaught checks that the soak detects a missing safety rule: without each rule, drawn scenarios must show a
+// violation within a few seeds. It runs only by hand, with envRules set.
 func TestRulesCaught(t *testing.T) {
 	seeds, err := strconv.Atoi(os.Getenv(envRules))
 	if err != nil {
--- a/internal/rig/soak.go
+++ b/internal/rig/soak.go
@@ -13,24 +13,24 @@
 	"github.com/pkg/errors"
 )
 
-// Soak is drawn plays, one after the other.
+// Soak plays randomly drawn scenarios one after the other.
 type Soak struct {
 	Options
 	Seed   uint64
 	Seeds  int
-	Length time.Duration // Of the traffic of each play.
-	Keep   bool          // Keep the logs also of plays that broke nothing.
+	Length time.Duration // Time in which each play submits jobs.
+	Keep   bool          // Keep the logs of plays without violations too.
 }
 
-// Outcome is what the plays came to.
+// Outcome is the result of a soak.
 type Outcome struct {
 	Plays, Checked int
 	Broken         []string
-	Seeds          []uint64       // Those that broke something.
-	Faults         map[string]int // By kind.
+	Seeds          []uint64       // Seeds with violations.
+	Faults         map[string]int // Number of injected faults, by kind.
 }
 
-// String is the outcome in one line.
+// String returns a summary of the outcome in one line.
 func (o *Outcome) String() string {
 	var kinds []string
 	for _, kind := range slices.Sorted(maps.Keys(o.Faults)) {
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("soak: plays %d, promises checked %d, broken %d, seeds %v, faults: %s", o.Plays, o.Checked, len(o.Broken), o.Seeds, strings.Join(kinds, ", "))
 }
 
-// Run plays all seeds, or until ctx ends. The scenario and the logs of a play that broke something are kept.
+// Run plays all seeds, or until ctx ends. It keeps the scenario and the logs of a play with violations.
 func (s *Soak) Run(ctx context.Context) (*Outcome, error) {
 	o := &Outcome{Faults: map[string]int{}}
 	for i := range s.Seeds {
@@ -58,15 +58,15 @@
 	}
 	options := s.Options
 	options.Dir = filepath.Join(s.Dir, fmt.Sprintf("seed-%d", seed))
-	err = os.RemoveAll(options.Dir) // Of an earlier play.
+	err = os.RemoveAll(options.Dir) // Files of an earlier soak.
 	if err == nil {
 		err = os.MkdirAll(options.Dir, 0o700)
 	}
 	if err != nil {
-		return errors.Wrap(err, "rig: no directory for logs")
+		return errors.Wrap(err, "rig: unable to prepare the directory for logs")
 	}
 	if err := os.WriteFile(filepath.Join(options.Dir, "scenario.txt"), []byte(text), 0o600); err != nil {
-		return errors.Wrap(err, "rig: unable to keep a scenario")
+		return errors.Wrap(err, "rig: unable to write the scenario")
 	}
 	fmt.Fprintf(s.Out, "seed %d\n", seed)
 	v, err := Play(ctx, scenario, options)
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -13,7 +13,8 @@
 	"github.com/pulleyring/pulleyring/internal/rig"
 )
 
-// TestSoak plays two drawn seeds: one of all faults, and one of planned ends and changes only.
+// TestSoak plays the scenarios of two seeds: one with all kinds of faults, and one with planned shutdowns and
+// configuration changes only.
 func TestSoak(t *testing.T) {
 	program, err := os.Executable()
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -35,34 +36,34 @@
 	}
 }
 
-// TestInterrupted holds that a play that is interrupted ends at once, with all of its processes.
+// TestInterrupted checks that a play whose context is cancelled ends promptly, with all of its processes.
 func TestInterrupted(t *testing.T) {
 	program, err := os.Executable()
 	quicktest.Assert(t, err, quicktest.IsNil)
 	scenario, err := rig.Parse("until 60s\nat 0s client submit 3 30s\nat 1s w1 stop\nat 50s w1 continue")
 	quicktest.Assert(t, err, quicktest.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	out := &interrupter{after: "w1 stop", interrupt: cancel}
+	out := &cancelWriter{after: "w1 stop", interrupt: cancel}
 	began := time.Now()
 	_, err = rig.Play(ctx, scenario, rig.Options{Program: program, Env: []string{envProgram + "=1"}, Dir: t.TempDir(), Out: out})
 	quicktest.Assert(t, err, quicktest.ErrorIs, context.Canceled)
 	quicktest.Check(t, time.Since(began) < 40*time.Second, quicktest.IsTrue)
 }
 
-// interrupter interrupts a play after a step.
-type interrupter struct {
+// cancelWriter cancels a play after a step has been printed.
+type cancelWriter struct {
 	after     string
 	interrupt func()
 }
 
-func (i *interrupter) Write(raw []byte) (int, error) {
+func (i *cancelWriter) Write(raw []byte) (int, error) {
 	if strings.Contains(string(raw), i.after) {
 		i.interrupt()
 	}
 	return len(raw), nil
 }
 
-// TestDraw holds that a seed always draws the same, and that what is drawn can be read.
+// TestDraw checks that a seed always gives the same scenario, and that Parse reads it.
 func TestDraw(t *testing.T) {
 	for seed := range uint64(200) {
 		text := rig.Draw(seed, 30*time.Second)
--- a/internal/rig/steps.go
+++ b/internal/rig/steps.go
@@ -13,74 +13,77 @@
 	"github.com/pulleyring/pulleyring/internal/interval"
 )
 
-// carryOutAll carries out the steps and waits until all jobs have ended, as their clients know.
-func (p *play) carryOutAll(ctx context.Context) error {
+// executeSteps executes the steps and waits until all clients have stopped polling, or until the play reaches its
+// maximum length.
+func (p *play) executeSteps(ctx context.Context) error {
 	p.began = time.Now()
 	balancing, stop := context.WithCancel(ctx)
 	p.group.Go(func() { p.balance(balancing) })
 	defer stop()
 	for _, step := range p.Steps {
 		interval.Sleep(ctx, time.Until(p.began.Add(step.At)))
-		p.noteExits()
+		p.recordExits()
 		p.began = p.began.Add(p.awaitLoaded(ctx, &step))
 		if ctx.Err() != nil {
 			break
 		}
-		if err := p.carryOut(ctx, &step); err != nil {
+		if err := p.executeStep(ctx, &step); err != nil {
 			return errors.WithMessagef(err, "rig: line %d", step.Line)
 		}
 	}
-	for time.Since(p.began) < p.Until && ctx.Err() == nil && !p.settled() {
-		interval.Sleep(ctx, pollEvery)
+	for time.Since(p.began) < p.Until && ctx.Err() == nil && !p.allPollingDone() {
+		interval.Sleep(ctx, pollInterval)
 	}
-	p.noteExits()
-	p.noteOutranked(ctx)
+	p.recordExits()
+	p.recordSuperseded(ctx)
 	return errors.Wrap(ctx.Err(), "rig: interrupted")
 }
 
-// learnsWithin is how long a box takes to learn of a second process of it that does not schedule: it reads what the boxes announce every 20 s.
-const learnsWithin = 22 * time.Second
+// duplicateDetectedWithin is the time within which a box that does not schedule detects a second process with its
+// name: it reads the boxes' announcements every 20 s.
+const duplicateDetectedWithin = 22 * time.Second
 
-// noteOutranked notes which boxes go on for longer than a planned end takes once they must know that a second process of them was started.
-func (p *play) noteOutranked(ctx context.Context) {
-	for end := time.Now().Add(learnsWithin + grace + graceSlack); time.Now().Before(end) && slices.ContainsFunc(p.outranked, func(pr *process) bool { return !pr.hasEnded() }); {
-		interval.Sleep(ctx, pollEvery)
+// recordSuperseded records the boxes that still run although they must have detected a later process with their name,
+// and the time of a planned shutdown has passed since.
+func (p *play) recordSuperseded(ctx context.Context) {
+	for end := time.Now().Add(duplicateDetectedWithin + shutdownWithin + shutdownSlack); time.Now().Before(end) && slices.ContainsFunc(p.superseded, func(pr *process) bool { return !pr.hasEnded() }); {
+		interval.Sleep(ctx, pollInterval)
 	}
-	for _, pr := range p.outranked {
+	for _, pr := range p.superseded {
 		if !pr.hasEnded() {
 			p.exits = append(p.exits, pr.name+" goes on beside a later start of it")
 		}
 	}
 }
 
-// awaitLoaded waits until a worker has runs, if a step names the one with the most, and returns how much later the steps come for that:
-// on a busy machine a job's tasks begin late.
+// awaitLoaded waits until a worker has runs if a step targets the worker with the most. It returns the time waited,
+// by which all later steps are delayed: on a busy machine a job's tasks start late.
 func (p *play) awaitLoaded(ctx context.Context, s *Step) time.Duration {
 	began := time.Now()
 	for strings.HasPrefix(s.Target, "loaded") && time.Since(began) < startsWithin && ctx.Err() == nil {
-		if _, err := p.find(s.Target); err == nil {
+		if _, err := p.findProcess(s.Target); err == nil {
 			break
 		}
-		interval.Sleep(ctx, pollEvery)
+		interval.Sleep(ctx, pollInterval)
 	}
 	return time.Since(began)
 }
 
-func (p *play) settled() bool {
+func (p *play) allPollingDone() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, j := range p.jobs {
-		if !j.settled {
+		if !j.pollingDone {
 			return false
 		}
 	}
 	return true
 }
 
-// signals are the verbs that are signals.
+// signals maps the verbs that send a signal to that signal.
 var signals = map[string]syscall.Signal{"stop": syscall.SIGSTOP, "continue": syscall.SIGCONT, "kill": syscall.SIGKILL, "terminate": syscall.SIGTERM, "reload": syscall.SIGHUP}
 
-func (p *play) carryOut(ctx context.Context, s *Step) error {
+func (p *play) executeStep(ctx context.Context, s *Step) error {
 	fmt.Fprintf(p.Out, "%6.1fs %s %s %s\n", s.At.Seconds(), s.Target, s.Verb, strings.Join(s.Args, " "))
 	switch s.Target {
 	case "client":
@@ -90,51 +93,52 @@
 		return p.configure()
 	case "machine":
 		for i := range s.Count {
-			if _, err := p.role(ctx, fmt.Sprintf("busy-%d", i+1), Role{Kind: "busy"}); err != nil {
+			if _, err := p.startRole(ctx, fmt.Sprintf("busy-%d", i+1), Role{Kind: "busy"}); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	pr, err := p.find(s.Target)
+	pr, err := p.findProcess(s.Target)
 	if err != nil {
 		return err
 	}
 	starts := s.Verb == "restart" || s.Verb == "return" || s.Verb == "again"
 	if pr.hasEnded() && !starts {
-		return nil // What strikes a process that is over does nothing.
+		return nil // A fault of a process that has ended has no effect.
 	}
-	p.troubles.note(s, time.Now())
+	p.faults.record(s, time.Now())
 	switch s.Verb {
 	case "restart":
 		return p.restartBox(s.Target)
 	case "twin":
-		return p.beginTwin(pr)
+		return p.startDuplicateBox(pr)
 	case "return", "again":
 		return p.returnWorker(ctx, s.Target, s.Verb == "again")
 	case "reload":
-		if err := p.resettle(s.Target); err != nil {
+		if err := p.changeSettings(s.Target); err != nil {
 			return err
 		}
 	}
 	sig, isSignal := signals[s.Verb]
 	if !isSignal {
-		return pr.tell(strings.Join(append([]string{s.Verb}, s.Args...), " "))
+		return pr.sendLine(strings.Join(append([]string{s.Verb}, s.Args...), " "))
 	}
 	if sig == syscall.SIGKILL {
-		p.noteKilled(pr)
+		p.recordKill(pr)
 	}
-	pr.asked = pr.asked || sig == syscall.SIGKILL || sig == syscall.SIGTERM
+	pr.exitExpected = pr.exitExpected || sig == syscall.SIGKILL || sig == syscall.SIGTERM
 	return errors.Wrap(pr.command.Process.Signal(sig), "rig: unable to signal")
 }
 
-// resettle changes a box's settings file: stops may take longer from then on, or as long as before.
-func (p *play) resettle(name string) error {
+// changeSettings changes the stop timeout in a box's settings file: to longerStopTime, and back to the default at every
+// second call.
+func (p *play) changeSettings(name string) error {
 	for _, b := range p.boxes {
 		if b.name != name {
 			continue
 		}
-		if b.settings.StopTime = longerStops; b.reloads%2 == 1 {
+		if b.settings.StopTime = longerStopTime; b.reloads%2 == 1 {
 			b.settings.StopTime = 0
 		}
 		b.reloads++
@@ -143,11 +147,11 @@
 	return errors.Errorf("there is no box %q", name)
 }
 
-// longerStops is how long a stop may take by settings that were changed.
-const longerStops = 600 * time.Millisecond
+// longerStopTime is the stop timeout in changed settings.
+const longerStopTime = 600 * time.Millisecond
 
-// noteKilled notes that a process is about to be killed, if it still lives.
-func (p *play) noteKilled(pr *process) {
+// recordKill records that a process is about to be killed, unless it has ended.
+func (p *play) recordKill(pr *process) {
 	if pr.hasEnded() {
 		return
 	}
@@ -156,12 +160,12 @@
 	p.lines = append(p.lines, Line{At: time.Now(), Worker: pr.name, Event: eventKilled})
 }
 
-// noteExits notes which boxes have ended by themselves.
-func (p *play) noteExits() {
+// recordExits records the boxes that have ended unexpectedly.
+func (p *play) recordExits() {
 	for _, b := range p.boxes {
-		if pr := p.processes[b.name]; pr.hasEnded() && !pr.asked {
-			pr.asked = true
-			p.exits = append(p.exits, fmt.Sprintf("%s ended by itself before %s", b.name, time.Now().Format(clock)))
+		if pr := p.processes[b.name]; pr.hasEnded() && !pr.exitExpected {
+			pr.exitExpected = true
+			p.exits = append(p.exits, fmt.Sprintf("%s ended by itself before %s", b.name, time.Now().Format(timeFormat)))
 		}
 	}
 }
@@ -171,28 +175,29 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
-	p.troubles.count("operator configure")
-	p.troubles.configured = append(p.troubles.configured, time.Now())
-	return p.store.tell(fmt.Sprintf("configure %d", p.version))
+	p.faults.count("operator configure")
+	p.faults.configured = append(p.faults.configured, time.Now())
+	return p.store.sendLine(fmt.Sprintf("configure %d", p.version))
 }
 
-// find returns the process that a target names. One that is looked up by what it does stays the same from then on.
-func (p *play) find(target string) (*process, error) {
-	who, part, isPart := strings.Cut(target, ".")
+// findProcess returns the process that a target names. The targets "holder" and "loaded" are resolved at their first
+// use and name the same process from then on.
+func (p *play) findProcess(target string) (*process, error) {
+	name, part, isPart := strings.Cut(target, ".")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.fixed[who] == "" {
-		p.fixed[who] = map[string]string{"holder": p.holder, "loaded": mostLoaded(p.lines)}[who]
+	if p.resolvedTargets[name] == "" {
+		p.resolvedTargets[name] = map[string]string{"holder": p.holder, "loaded": mostLoadedWorker(p.lines)}[name]
 	}
-	if p.fixed[who] != "" {
-		who = p.fixed[who]
+	if p.resolvedTargets[name] != "" {
+		name = p.resolvedTargets[name]
 	}
 	if isPart {
-		who += "." + part
+		name += "." + part
 	}
-	pr := p.processes[who]
+	pr := p.processes[name]
 	if pr == nil {
-		return nil, errors.Errorf("there is no process %q", who)
+		return nil, errors.Errorf("there is no process %q", name)
 	}
 	return pr, nil
 }
--- a/internal/rig/trouble.go
+++ b/internal/rig/trouble.go
@@ -6,92 +6,96 @@
 	"time"
 )
 
-// Bounds of the users' pages that a box is held to where nothing is wrong nearby, as long before as contact.
+// Limits from the users' pages that a box must meet while no fault is active nearby.
 const (
-	contact       = 3 * time.Second
-	cancelWithin  = 3 * time.Second
-	visibleWithin = 3 * time.Second
-	configWithin  = 2 * time.Second
-	stopWithin    = 400 * time.Millisecond
-	lossSlack     = 200 * time.Millisecond
-	// grace is how long a box that is told to end may take, and graceSlack how long after it a connection may still be cut by that.
-	grace, graceSlack = 6 * time.Second, time.Second
+	undisturbedBefore = 3 * time.Second        // Time after the last fault from which the limits hold.
+	cancelWithin      = 3 * time.Second        // From a cancellation to the last start of its job.
+	visibleWithin     = 3 * time.Second        // From the acceptance of a job until every box knows it.
+	configWithin      = 2 * time.Second        // Until a new configuration is in force.
+	stopWithin        = 400 * time.Millisecond // From the command to stop a run to its end.
+	requestReadWithin = 200 * time.Millisecond // Until a box has read a request that was written.
+	// shutdownWithin is the time in which a box must end after it is told to, and shutdownSlack the time after that
+	// in which a connection may still be cut by the shutdown.
+	shutdownWithin, shutdownSlack = 6 * time.Second, time.Second
 )
 
-// trouble is something that is wrong with a process or its connections.
-type trouble struct {
+// faultPeriod is the time in which a fault affects a process or its connections.
+type faultPeriod struct {
 	target, verb string
-	from, to     time.Time // Without an end it lasts.
+	from, to     time.Time // "to" is zero while the fault is active.
 }
 
-// troubles is what is and was wrong, and when the configuration was changed.
-type troubles struct {
-	list       []*trouble
+// faultHistory records the faults of a play, and when the configuration was changed.
+type faultHistory struct {
+	list       []*faultPeriod
 	configured []time.Time
 	lease      time.Duration
-	kinds      map[string]int // How many have struck, by kind.
+	kinds      map[string]int // Number of faults by kind.
 }
 
-// heals are the verbs that end what is wrong with a target.
-var heals = []string{"pass", "continue", "beat", "up", "restart", "return", "again"}
+// healingVerbs are the verbs that end the faults of a target.
+var healingVerbs = []string{"pass", "continue", "beat", "up", "restart", "return", "again"}
 
-// harmless are the verbs after which nothing is wrong.
-var harmless = []string{"reload", "forget", "twin"}
+// harmlessVerbs are the verbs that cause no fault.
+var harmlessVerbs = []string{"reload", "forget", "twin"}
 
-// leaving are the verbs of a worker that leaves as planned.
-var leaving = []string{"drain", "leave", "leave_after_end"}
+// leavingVerbs are the verbs of a worker that leaves as planned.
+var leavingVerbs = []string{"drain", "leave", "leave_after_end"}
 
-// brief are the verbs after which a target is as it should be without another step, once all leases that it had are over.
-var brief = append([]string{"mute", "late", "unrecord", modeStale}, leaving...)
+// temporaryVerbs are the verbs whose effect ends without another step, at the latest when all leases of the target have
+// expired.
+var temporaryVerbs = append([]string{"mute", "late", "unrecord", modeStale}, leavingVerbs...)
 
-// note takes in a step that concerns a process.
-func (t *troubles) note(s *Step, now time.Time) {
-	heal := slices.Contains(heals, s.Verb) || s.Verb == "fail" && s.Args[0] == "off"
+// record records a step that targets a process.
+func (h *faultHistory) record(s *Step, now time.Time) {
+	heal := slices.Contains(healingVerbs, s.Verb) || s.Verb == "fail" && s.Args[0] == "off"
 	if heal {
-		t.heal(s, now)
+		h.heal(s, now)
 		return
 	}
 	kind := strings.TrimRight(s.Target, "0123456789")
 	if before, part, isPart := strings.Cut(s.Target, "."); isPart {
 		kind = strings.TrimRight(before, "0123456789") + "." + part
 	}
-	t.count(strings.ReplaceAll(kind, "-", "") + " " + s.Verb)
-	if slices.Contains(harmless, s.Verb) {
+	h.count(strings.ReplaceAll(kind, "-", "") + " " + s.Verb)
+	if slices.Contains(harmlessVerbs, s.Verb) {
 		return
 	}
-	x := &trouble{target: s.Target, verb: s.Verb, from: now}
-	if slices.Contains(brief, s.Verb) {
-		x.to = now.Add(t.lease)
+	period := &faultPeriod{target: s.Target, verb: s.Verb, from: now}
+	if slices.Contains(temporaryVerbs, s.Verb) {
+		period.to = now.Add(h.lease)
 	}
-	t.list = append(t.list, x)
+	h.list = append(h.list, period)
 }
 
-func (t *troubles) count(kind string) {
-	if t.kinds == nil {
-		t.kinds = map[string]int{}
+func (h *faultHistory) count(kind string) {
+	if h.kinds == nil {
+		h.kinds = map[string]int{}
 	}
-	t.kinds[kind]++
+	h.kinds[kind]++
 }
 
-// heal ends what is wrong with a target. What a worker ran is known to be over only when its lease is.
-func (t *troubles) heal(s *Step, now time.Time) {
+// heal ends the active faults of a target. For a worker they end one lease later, because its earlier runs are known
+// to have ended only when its lease has expired.
+func (h *faultHistory) heal(s *Step, now time.Time) {
 	if strings.HasPrefix(s.Target, "w") {
-		now = now.Add(t.lease)
+		now = now.Add(h.lease)
 	}
-	for _, x := range t.list {
-		if x.target == s.Target && x.to.IsZero() {
-			x.to = now
+	for _, period := range h.list {
+		if period.target == s.Target && period.to.IsZero() {
+			period.to = now
 		}
 	}
 }
 
-// calm reports whether nothing was wrong from contact before a time until another, but for what is excepted.
-func (t *troubles) calm(from, to time.Time, except func(x *trouble) bool) bool {
-	for _, x := range t.list {
-		if except != nil && except(x) {
+// undisturbed reports whether no fault was active in an interval and for undisturbedBefore ahead of it, apart from the
+// faults for which except returns true.
+func (h *faultHistory) undisturbed(from, to time.Time, except func(period *faultPeriod) bool) bool {
+	for _, period := range h.list {
+		if except != nil && except(period) {
 			continue
 		}
-		if x.from.Before(to) && (x.to.IsZero() || x.to.After(from.Add(-contact))) {
+		if period.from.Before(to) && (period.to.IsZero() || period.to.After(from.Add(-undisturbedBefore))) {
 			return false
 		}
 	}
