--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -35,57 +35,57 @@
 	})
 }
 
-// handIn submits a small job at one box and returns what became of it and how long that took.
-func handIn(w *world, box, id string) (time.Duration, error) {
+// submitTimed submits a small job at one box and returns what became of it and how long that took.
+func submitTimed(w *world, box, id string) (time.Duration, error) {
 	r := &job.Request{ID: job.ID(id), Steps: []job.Step{{Count: 1, Estimate: time.Second}}}
 	began := time.Now()
 	err := w.submitAt(w.boxes[box].node, "normal", "desk-key", r)
 	return time.Since(began), err
 }
 
-func TestRefusedSoonWhileTheStoreRefuses(t *testing.T) {
+func TestSubmitFailsFastWhileStoreIsBusy(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		w.store.SetBusy()
-		took, err := handIn(w, "box-1", "a")
+		took, err := submitTimed(w, "box-1", "a")
 		quicktest.Assert(t, err, quicktest.ErrorIs, entry.ErrUnavailable)
 		quicktest.Assert(t, took < 400*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", took))
 		time.Sleep(time.Second)
-		took, err = handIn(w, "box-2", "b")
+		took, err = submitTimed(w, "box-2", "b")
 		quicktest.Assert(t, err, quicktest.ErrorIs, entry.ErrUnavailable)
 		quicktest.Assert(t, took, quicktest.Equals, time.Duration(0))
 	})
 }
 
-func TestRefusedAtOnceOnceTheStoreIsKnownToBeSilent(t *testing.T) {
+func TestSubmitRefusedAtOnceWhileStoreIsSilent(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		w.store.SetSilent()
 		time.Sleep(1500 * time.Millisecond)
-		took, err := handIn(w, "box-1", "a")
+		took, err := submitTimed(w, "box-1", "a")
 		quicktest.Assert(t, err, quicktest.ErrorIs, entry.ErrUnavailable)
 		quicktest.Assert(t, took, quicktest.Equals, time.Duration(0))
 		quicktest.Assert(t, w.boxes["box-1"].node.Ready(), quicktest.IsFalse)
 		w.store.SetUp()
 		time.Sleep(1500 * time.Millisecond)
 		quicktest.Assert(t, w.boxes["box-1"].node.Ready(), quicktest.IsTrue)
-		_, err = handIn(w, "box-1", "a")
+		_, err = submitTimed(w, "box-1", "a")
 		quicktest.Assert(t, err, quicktest.IsNil)
 	})
 }
 
-func TestUndecidedIsSettledOnceTheStoreIsBack(t *testing.T) {
+func TestUndecidedSubmitSucceedsWhenStoreReturns(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		w.store.SetSilent()
 		time.AfterFunc(1500*time.Millisecond, w.store.SetUp)
-		took, err := handIn(w, "box-1", "a")
+		took, err := submitTimed(w, "box-1", "a")
 		quicktest.Assert(t, err, quicktest.IsNil)
 		quicktest.Assert(t, took < 2900*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", took))
 	})
 }
 
-func TestUndecidedIsNeverCalledNotRun(t *testing.T) {
+func TestUndecidedSubmitIsNotReportedAsRejected(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		w.store.SetSilent()
-		_, err := handIn(w, "box-1", "a")
+		_, err := submitTimed(w, "box-1", "a")
 		quicktest.Assert(t, err, quicktest.ErrorIs, entry.ErrUndecided)
 	})
 }
@@ -99,7 +99,7 @@
 		for i := range failed {
 			group.Go(func() {
 				time.Sleep(time.Duration(i) * 100 * time.Millisecond)
-				_, failed[i] = handIn(w, fmt.Sprintf("box-%d", i%3+1), fmt.Sprintf("job%d", i))
+				_, failed[i] = submitTimed(w, fmt.Sprintf("box-%d", i%3+1), fmt.Sprintf("job%d", i))
 			})
 		}
 		group.Wait()
@@ -113,24 +113,24 @@
 	inWorld(t, func(t *testing.T, w *world) {
 		w.store.SetSlow(400 * time.Millisecond)
 		time.Sleep(3 * time.Second)
-		_, err := handIn(w, "box-1", "a")
+		_, err := submitTimed(w, "box-1", "a")
 		quicktest.Assert(t, err, quicktest.IsNil)
 		quicktest.Assert(t, w.boxes["box-1"].node.Ready(), quicktest.IsTrue)
 	})
 }
 
-// TestRelayedWhileTheStoreTurnsTheBoxAway: other boxes pass a box's calls on, so that it goes on serving.
-func TestRelayedWhileTheStoreTurnsTheBoxAway(t *testing.T) {
+// TestSubmitForwardedWhileStoreRejectsBox: other boxes pass a box's calls on, so that it goes on serving.
+func TestSubmitForwardedWhileStoreRejectsBox(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		time.Sleep(3 * time.Second) // Until the boxes know each other.
 		for i, turnAway := range []func(string){w.store.Refuse, w.store.Cut} {
 			turnAway("box-1")
-			took, err := handIn(w, "box-1", fmt.Sprint("at once ", i))
+			took, err := submitTimed(w, "box-1", fmt.Sprint("at once ", i))
 			quicktest.Assert(t, err, quicktest.IsNil)
 			quicktest.Assert(t, took < 2500*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", took))
 			time.Sleep(2 * time.Second)
 			quicktest.Assert(t, w.boxes["box-1"].node.Ready(), quicktest.IsTrue)
-			took, err = handIn(w, "box-1", fmt.Sprint("later ", i))
+			took, err = submitTimed(w, "box-1", fmt.Sprint("later ", i))
 			quicktest.Assert(t, err, quicktest.IsNil)
 			quicktest.Assert(t, took < 50*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", took))
 			w.store.SetUp()
@@ -139,27 +139,27 @@
 	})
 }
 
-// TestNotRelayedWhileParted: a box that reaches neither the store nor another box refuses, and says so to the balancer.
-func TestNotRelayedWhileParted(t *testing.T) {
+// TestIsolatedBoxRefusesSubmits: a box that reaches neither the store nor another box refuses, and says so to the balancer.
+func TestIsolatedBoxRefusesSubmits(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		time.Sleep(3 * time.Second)
 		w.network.Cut("box-1")
 		w.store.Refuse("box-1")
 		time.Sleep(4 * time.Second)
-		took, err := handIn(w, "box-1", "a")
+		took, err := submitTimed(w, "box-1", "a")
 		quicktest.Assert(t, err, quicktest.ErrorIs, entry.ErrUnavailable)
 		quicktest.Assert(t, took, quicktest.Equals, time.Duration(0))
 		quicktest.Assert(t, w.boxes["box-1"].node.Ready(), quicktest.IsFalse)
 	})
 }
 
-// TestLostAnswersAreMadeUpSoon: a write without an answer is repeated as soon as an answer should have come.
-func TestLostAnswersAreMadeUpSoon(t *testing.T) {
+// TestLostResponsesAreRetriedSoon: a write without an answer is repeated as soon as an answer should have come.
+func TestLostResponsesAreRetriedSoon(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		w.store.SetLose(0.5)
 		total := time.Duration(0)
 		for i := range 20 {
-			took, err := handIn(w, "box-1", fmt.Sprint("job", i))
+			took, err := submitTimed(w, "box-1", fmt.Sprint("job", i))
 			quicktest.Assert(t, err, quicktest.IsNil)
 			total += took
 		}
@@ -167,9 +167,9 @@
 	})
 }
 
-// TestPartsOutAcceptsElsewhere: while some parts of the store are out, requests and cancellations go to others, and all of
+// TestSubmitAvoidsUnavailableParts: while some parts of the store are out, requests and cancellations go to others, and all of
 // their rows go in the end.
-func TestPartsOutAcceptsElsewhere(t *testing.T) {
+func TestSubmitAvoidsUnavailableParts(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		for n := range 4 {
 			w.store.SetPartOut(fmt.Sprint(Shard, "/", n))
@@ -177,7 +177,7 @@
 		var accepted []job.ID
 		for i := range 24 {
 			id := fmt.Sprint("job", i)
-			took, err := handIn(w, fmt.Sprintf("box-%d", i%3+1), id)
+			took, err := submitTimed(w, fmt.Sprintf("box-%d", i%3+1), id)
 			quicktest.Assert(t, err, quicktest.IsNil, quicktest.Commentf("%s", id))
 			quicktest.Assert(t, took < 200*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", took))
 			accepted = append(accepted, job.ID(id))
@@ -204,19 +204,19 @@
 	})
 }
 
-// TestDeafFeedIsMadeUpSoon: at 25 jobs a second, a feed that tells of nothing is noticed soon, and the rows are read at once.
-func TestDeafFeedIsMadeUpSoon(t *testing.T) {
+// TestSilentFeedIsDetectedSoon: at 25 jobs a second, a feed that tells of nothing is noticed soon, and the rows are read at once.
+func TestSilentFeedIsDetectedSoon(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		quicktest.Assert(t, w.command([]string{"workers", "8"}), quicktest.IsNil)
 		for i := range 50 {
-			_, err := handIn(w, "box-1", fmt.Sprint("before", i))
+			_, err := submitTimed(w, "box-1", fmt.Sprint("before", i))
 			quicktest.Assert(t, err, quicktest.IsNil)
 			time.Sleep(35 * time.Millisecond)
 		}
 		w.store.SetSlow(30 * time.Millisecond)
 		w.store.SetDeaf()
 		began := time.Now()
-		_, err := handIn(w, "box-1", "deaf")
+		_, err := submitTimed(w, "box-1", "deaf")
 		quicktest.Assert(t, err, quicktest.IsNil)
 		for state, err := w.state("deaf"); state == job.Queued; state, err = w.state("deaf") {
 			quicktest.Assert(t, err, quicktest.IsNil)
@@ -227,9 +227,9 @@
 	})
 }
 
-// TestAcceptedOverASilentPath hands jobs in at boxes whose path to the store, like that of a third of all, has just fallen silent: each caller hears within
+// TestSubmitAcceptedWhileDirectPathIsSilent hands jobs in at boxes whose path to the store, like that of a third of all, has just fallen silent: each caller hears within
 // a third of the 3 s that it waits.
-func TestAcceptedOverASilentPath(t *testing.T) {
+func TestSubmitAcceptedWhileDirectPathIsSilent(t *testing.T) {
 	inEmptyWorld(t, func(t *testing.T, w *world) {
 		play(t, w, []string{"boxes 12", "workers 24 rack 4", "sleep 5s"})
 		var group sync.WaitGroup
@@ -238,7 +238,7 @@
 		}
 		for i := 1; i <= 12; i += 3 {
 			group.Go(func() {
-				took, err := handIn(w, fmt.Sprint("box-", i), fmt.Sprint("job-", i))
+				took, err := submitTimed(w, fmt.Sprint("box-", i), fmt.Sprint("job-", i))
 				quicktest.Check(t, err, quicktest.IsNil, quicktest.Commentf("box-%d", i))
 				quicktest.Check(t, took < time.Second, quicktest.IsTrue, quicktest.Commentf("box-%d: %s", i, took))
 			})
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -9,16 +9,16 @@
 	"go.uber.org/zap"
 )
 
-// callsLogEvery is how often it is logged what the store was called for.
-const callsLogEvery = time.Minute
+// callsLogInterval is the time between two log lines that count the calls to the store.
+const callsLogInterval = time.Minute
 
-// logCalls logs, now and then and at the end, the calls that this box has made to the store since its start, by kind and table, and how many of them it passed on
-// for other boxes.
+// logCalls logs, every callsLogInterval and when ctx ends, how many calls this box has made to the store since its
+// start, by kind and table, and how many it forwarded for other boxes.
 func (n *Node) logCalls(ctx context.Context) {
 	for {
-		goesOn := interval.Sleep(ctx, callsLogEvery)
+		running := interval.Sleep(ctx, callsLogInterval)
 		n.log.Info("node: calls to the store", zap.Any("calls", n.Figures.Counters(relay.PathDirect+"_")), zap.Int64("passed_on", n.Figures.Counted("relay_passed_on")))
-		if !goesOn {
+		if !running {
 			return
 		}
 	}
--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -73,13 +73,13 @@
 		if err != nil {
 			return err
 		}
-		err = w.submitAt(w.boxes[w.order[0]].node, words[2], words[3], r)
+		err = w.submitAt(w.boxes[w.clientBoxes[0]].node, words[2], words[3], r)
 		if !errors.Is(err, entry.ErrClosed) || time.Since(began) > 50*time.Millisecond {
 			return fmt.Errorf("%v after %s", err, time.Since(began))
 		}
 		return nil
 	}
-	w.empty(words[1], words[0] == "empty")
+	w.setEmptied(words[1], words[0] == "empty")
 	return nil
 }
 
@@ -185,9 +185,9 @@
 	case "kill":
 		b.gate.Kill()
 		b.kill()
-		w.leave(name) // Clients don't reach it any more.
+		w.removeClientBox(name) // Clients don't reach it any more.
 	case "stop":
-		b.plan()
+		b.shutDown()
 	case "freeze":
 		d, err := time.ParseDuration(words[2])
 		if err != nil {
@@ -214,9 +214,9 @@
 	}
 }
 
-// loseHall kills every box of a hall.
-func (w *world) loseHall(hall string) error {
-	for _, name := range slices.Clone(w.order) {
+// killHall kills every box of a hall.
+func (w *world) killHall(hall string) error {
+	for _, name := range slices.Clone(w.clientBoxes) {
 		if !strings.HasPrefix(name, hall+"-") {
 			continue
 		}
@@ -227,28 +227,28 @@
 	return nil
 }
 
-// leave takes a box out of those that clients ask.
-func (w *world) leave(name string) {
+// removeClientBox takes a box out of those that clients ask.
+func (w *world) removeClientBox(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.order = slices.DeleteFunc(w.order, func(n string) bool { return n == name })
+	w.clientBoxes = slices.DeleteFunc(w.clientBoxes, func(n string) bool { return n == name })
 }
 
-// claimedWithin is how long nobody may hold the lease in a script: longer than a take-over takes after any fault.
-const claimedWithin = 5 * time.Second
+// claimTimeout is how long nobody may hold the lease in a script: longer than a take-over takes after any fault.
+const claimTimeout = 5 * time.Second
 
 // holder is the box that holds the lease. One that stops gives it back, and for some ms nobody holds it.
 func (w *world) holder() string {
 	name := w.holderNow()
-	for end := time.Now().Add(claimedWithin); name == "" && time.Now().Before(end); name = w.holderNow() {
+	for end := time.Now().Add(claimTimeout); name == "" && time.Now().Before(end); name = w.holderNow() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	return name
 }
 
 func (w *world) holderNow() string {
-	lease, err := w.boxes[w.order[0]].node.ledger.Lease(w.ctx)
-	for _, name := range w.order[1:] {
+	lease, err := w.boxes[w.clientBoxes[0]].node.ledger.Lease(w.ctx)
+	for _, name := range w.clientBoxes[1:] {
 		if err != nil {
 			lease, err = w.boxes[name].node.ledger.Lease(w.ctx)
 		}
@@ -265,13 +265,13 @@
 	n.Reload(&s)
 }
 
-// tenures fails where the lease was claimed more than so many times.
-func (w *world) tenures(most string) error {
+// checkLeaseTerms fails where the lease was claimed more than so many times.
+func (w *world) checkLeaseTerms(most string) error {
 	n, err := strconv.ParseInt(most, 10, 64)
 	if err != nil {
 		return err
 	}
-	lease, err := w.boxes[w.order[0]].node.ledger.Lease(w.ctx)
+	lease, err := w.boxes[w.clientBoxes[0]].node.ledger.Lease(w.ctx)
 	if err == nil && lease.Epoch > n {
 		err = fmt.Errorf("%d", lease.Epoch)
 	}
@@ -283,7 +283,7 @@
 		return fmt.Errorf("unknown command")
 	}
 	if words[1] == "all" {
-		return w.toAll(words)
+		return w.applyToAllWorkers(words)
 	}
 	id := w.workerNamed(words[1])
 	switch words[0] {
@@ -303,7 +303,7 @@
 		w.fleet.Record(id)
 		return nil
 	case "cut", "heal", "shut", "open", "hold_back", "answers":
-		return w.signCommand(words, id)
+		return w.connectionCommand(words, id)
 	case "fail", "well":
 		return w.fleet.Fail(id, words[0] == "fail")
 	case "spoil", "unspoil":
@@ -394,23 +394,23 @@
 }
 
 const (
-	// strikeWithin is how long a strike waits for its task to run.
-	strikeWithin = 30 * time.Second
-	// strikeAfter is the age of the run that is struck.
-	strikeAfter = 30 * time.Millisecond
+	// runStartTimeout is how long a strike waits for its task to run.
+	runStartTimeout = 30 * time.Second
+	// failDelay is the age of the run that is struck.
+	failDelay = 30 * time.Millisecond
 	// shortNotice is how long a worker stays that leaves at short notice.
 	shortNotice = 1800 * time.Millisecond
 )
 
-// tellCommand checks what callers and operators are told.
-func (w *world) tellCommand(words []string) error {
+// reportCommand checks what callers and operators are told.
+func (w *world) reportCommand(words []string) error {
 	id, want := job.ID(words[1]), strings.Join(words[2:], " ")
 	got := ""
 	switch words[0] {
 	case "reason":
 		got = w.reason(id)
 	case "figure":
-		return w.figure(words[1], words[2])
+		return w.checkCounter(words[1], words[2])
 	default:
 		report, err := w.boxes[w.holder()].node.Why(w.ctx, id)
 		if err != nil {
@@ -428,8 +428,8 @@
 	return nil
 }
 
-// figure checks a counter, over all boxes.
-func (w *world) figure(name, want string) error {
+// checkCounter checks a counter, over all boxes.
+func (w *world) checkCounter(name, want string) error {
 	sum := int64(0)
 	for _, b := range w.boxes {
 		sum += b.node.Figures.Counted(name)
@@ -440,16 +440,16 @@
 	return nil
 }
 
-// strike waits until a job's first task runs and then does something to its worker, just after the start.
-func (w *world) strike(what string, id job.ID) error {
+// failWorkerOf waits until a job's first task runs and then does something to its worker, just after the start.
+func (w *world) failWorkerOf(what string, id job.ID) error {
 	task := job.Task{Job: id}
 	var worker, hall string
-	for end := time.Now().Add(strikeWithin); worker == ""; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(runStartTimeout); worker == ""; time.Sleep(5 * time.Millisecond) {
 		if worker, hall = w.fleet.WhereRuns(task); time.Now().After(end) {
 			return errors.New("it does not run")
 		}
 	}
-	time.Sleep(strikeAfter)
+	time.Sleep(failDelay)
 	switch what {
 	case "hall":
 		w.fleet.CrashHall(hall)
@@ -494,11 +494,11 @@
 		w.store.SetLose(share)
 		return err
 	case "cut":
-		w.struck = w.named(words[1])
-		w.store.Cut(w.struck)
+		w.rejectedBox = w.named(words[1])
+		w.store.Cut(w.rejectedBox)
 	case "refuse":
-		w.struck = w.named(words[1])
-		w.store.Refuse(w.struck)
+		w.rejectedBox = w.named(words[1])
+		w.store.Refuse(w.rejectedBox)
 	default:
 		return fmt.Errorf("unknown condition")
 	}
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -2,47 +2,50 @@
 
 import "time"
 
-// Fitness of a box to schedule: what a take-over of about 700 jobs and 350 workers needs, set against the box's own means.
+// These constants rate how fit a box is to schedule: they compare what a takeover of about 700 jobs and 350 workers
+// needs with the resources of the box.
 const (
-	// takeoverMegabits is what it reads: 1 MB of rows.
+	// takeoverMegabits is the data that a takeover reads, in megabits: 1 MB of rows.
 	takeoverMegabits = 8
-	// takeoverCores is the processor time that it uses, in seconds of a core: measured 0.09.
+	// takeoverCores is the processor time that a takeover uses, in core seconds. A takeover used 0.09.
 	takeoverCores = 0.1
-	// fitWithin is the time of a take-over up to which a box counts as fit and does not let others go first.
-	fitWithin = 300 * time.Millisecond
-	// unfitMost bounds how long the least fit box lets others go first: four renewals of the lease.
-	unfitMost = 1200 * time.Millisecond
-	// indirectWait is how long a box that reaches the store only through others lets others go first: each call takes a hop
-	// more, and loads the box that passes it on.
+	// fitTakeoverTime is the longest takeover of a fit box. A box that needs longer lets others claim the lease
+	// first.
+	fitTakeoverTime = 300 * time.Millisecond
+	// maxUnfitWait limits how long the least fit box lets others claim first: four renewals of the lease.
+	maxUnfitWait = 1200 * time.Millisecond
+	// indirectWait is how long a box without a direct path to the store lets others claim first: each of its calls
+	// takes one more hop and loads the box that forwards it.
 	indirectWait = time.Second
 )
 
 const (
-	// watchers is how many boxes watch the store closely for all others: the fittest of each hall, and watchersLeast at least of each, so that some keep
-	// their paths where a third of the boxes lose theirs.
-	watchers      = 5
-	watchersLeast = 2
-	// standbyPoll is how often the others look at the lease, and standbyWait how much longer it must stand unchanged for them. They are there
-	// for the loss of all that watch, which are of all halls.
+	// siteWatchers is how many boxes of a site watch the store closely for all others: the fittest of each hall. At
+	// least minHallWatchers of each hall watch, so that some keep their paths when a third of the boxes lose theirs.
+	siteWatchers    = 5
+	minHallWatchers = 2
+	// standbyPoll is how often the other boxes read the lease, and standbyWait how much longer than for a watcher the
+	// lease must stay unchanged before they claim it. They only matter when all watchers, which are spread over all
+	// halls, are lost.
 	standbyPoll = 3 * time.Second
 	standbyWait = time.Second
 )
 
-// watchersOf is how many boxes of each hall watch the store.
-func watchersOf(halls []string) int {
+// watchersPerHall returns how many boxes of each hall watch the store.
+func watchersPerHall(halls []string) int {
 	n := max(len(halls), 1)
-	return max((watchers+n-1)/n, watchersLeast)
+	return max((siteWatchers+n-1)/n, minHallWatchers)
 }
 
-// Means is what a box has to work with; zero values are not known and count as plenty.
+// Means holds the resources of a box. A zero value means unknown and counts as plenty.
 type Means struct {
-	Cores        float64 // Processor time a second, in cores.
-	MegabitsPerS float64 // Of its network link.
-	Descriptors  int     // Files and sockets that a box may have open.
+	Cores        float64 // Processor time, in core seconds per second.
+	MegabitsPerS float64 // Bandwidth of the network link, in Mbit/s.
+	Descriptors  int     // Limit of open files and sockets.
 }
 
-// takeover is how long a take-over of a large site would take with these means.
-func (m Means) takeover() time.Duration {
+// takeoverTime returns how long a takeover of a large site takes with these resources.
+func (m Means) takeoverTime() time.Duration {
 	seconds := 0.0
 	if m.MegabitsPerS > 0 {
 		seconds += takeoverMegabits / m.MegabitsPerS
@@ -53,19 +56,20 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// claimWait is how long this box lets others claim a free lease first. A weak scheduler is slow at everything: on a link of
-// 10 Mbit/s and 0.19 cores a take-over of 408 jobs took 1.14 s, on 200 Mbit/s and 0.8 cores one of 642 jobs 0.12 s.
+// claimWait returns how long this box lets others claim a free lease first. A weak box is a slow scheduler: on a link
+// of 10 Mbit/s with 0.19 cores a takeover of 408 jobs took 1.14 s; with 200 Mbit/s and 0.8 cores one of 642 jobs took
+// 0.12 s.
 func (n *Node) claimWait() time.Duration {
-	wait := min(max(n.settings.Load().Means.takeover()-fitWithin, 0), unfitMost)
+	wait := min(max(n.settings.Load().Means.takeoverTime()-fitTakeoverTime, 0), maxUnfitWait)
 	if !n.relay.Direct.Healthy() {
 		wait += indirectWait
 	}
 	return wait
 }
 
-// watches reports whether this box watches the store itself: for the others of its hall, because it schedules and must not go by what others know, or
-// because it does not know yet who watches.
+// watches reports whether this box watches the store itself: because it watches for its hall, because it schedules
+// and must not rely on copies of other boxes, or because it does not know yet which boxes watch.
 func (n *Node) watches() bool {
-	b := &n.relay.Book
-	return n.platform.Network == nil || n.scheduler.Load() != nil || !b.Ranked() || b.IsWatcher()
+	book := &n.relay.Book
+	return n.platform.Network == nil || n.scheduler.Load() != nil || !book.Ranked() || book.IsWatcher()
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -14,16 +14,19 @@
 )
 
 const (
-	// leasePoll is how often a box looks whether the lease is being renewed (every 300 ms).
+	// leasePoll is how often a watcher reads the lease to see whether it is renewed. The holder renews it every 300
+	// ms.
 	leasePoll = 400 * time.Millisecond
-	// leaseSilence is how long the lease may stand unchanged before another box takes it: several missed renewals.
-	leaseSilence = 1200 * time.Millisecond
-	// leaseTimeout bounds one such look, so that the end of a silence is found soon; the store at its slowest answers
-	// after about 400 ms.
-	leaseTimeout = 700 * time.Millisecond
+	// leaseRenewalTimeout is how long the lease may stay unchanged before another box claims it: several missed
+	// renewals.
+	leaseRenewalTimeout = 1200 * time.Millisecond
+	// leaseReadTimeout limits one read of the lease, so that a missing renewal is noticed soon. The store answers
+	// after about 400 ms at its slowest.
+	leaseReadTimeout = 700 * time.Millisecond
 )
 
-// schedule takes the lease whenever nobody renews it, and schedules for as long as it is held. It ends once a later start of the box has come.
+// schedule claims the lease whenever no box renews it, and schedules for as long as it holds the lease. It returns
+// when ctx ends or a later start of this box is registered.
 func (n *Node) schedule(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -32,7 +35,7 @@
 	}
 	go func() {
 		select {
-		case <-n.outranked:
+		case <-n.superseded:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -50,11 +53,11 @@
 			return
 		}
 		if err != nil {
-			since = time.Now() // Only silence that was watched counts.
+			since = time.Now() // Time counts towards a timeout only while the lease can be read.
 			failed.sleep(ctx, n.watches())
 			continue
 		}
-		failed.succeeded()
+		failed.reset()
 		if lease.Version != seen.Version || since.IsZero() {
 			seen, since = lease, time.Now()
 		}
@@ -63,20 +66,20 @@
 			interval.Sleep(ctx, retryPause)
 			continue
 		}
-		patience, pause := n.claimWait(), leasePoll
+		wait, pause := n.claimWait(), leasePoll
 		switch {
 		case n.isFree(lease):
-			pause = min(leasePoll, patience)
+			pause = min(leasePoll, wait)
 		case n.relay.Book.IsWatcher():
-			patience += leaseSilence
-		case !n.relay.Book.Ranked(): // Whether it is to go first is known soon.
-			patience += leaseSilence + standbyWait
+			wait += leaseRenewalTimeout
+		case !n.relay.Book.Ranked(): // The ranking of the boxes is known soon.
+			wait += leaseRenewalTimeout + standbyWait
 		default:
-			patience += leaseSilence + standbyWait + n.relay.Book.Phase(standbyWait)
+			wait += leaseRenewalTimeout + standbyWait + n.relay.Book.Phase(standbyWait)
 			pause = standbyPoll
 		}
-		if time.Since(since) >= patience {
-			n.hold(ctx, lease, since)
+		if time.Since(since) >= wait {
+			n.claimAndSchedule(ctx, lease, since)
 			since = time.Time{}
 			continue
 		}
@@ -84,37 +87,39 @@
 	}
 }
 
-// isFree reports whether nobody can be using a lease: it was given back, or an earlier start of this box holds it.
+// isFree reports whether no other process can be using the lease: it was released, or an earlier start of this box
+// holds it.
 func (n *Node) isFree(lease ledger.Lease) bool {
 	_, own := startNumber(n.settings.Load().Box, lease.Holder)
 	return lease.Holder == "" || own
 }
 
-// leaseCopyAge is how old the lease may be as another box has read it: those that watch it read it every leasePoll.
-const leaseCopyAge = time.Second
+// maxLeaseCopyAge is the maximum age of a copy of the lease that another box has read. Watchers read the lease every
+// leasePoll.
+const maxLeaseCopyAge = time.Second
 
-// watchedLease reads the lease: from the store, or from a box of the hall that watches it.
+// watchedLease reads the lease, either from the store (direct) or from a box of the hall that watches it (copies).
 type watchedLease struct {
-	own    ledger.Ledger
+	direct ledger.Ledger
 	copies ledger.Ledger
 }
 
 func newWatchedLease(n *Node) watchedLease {
 	f := n.follower()
-	f.MaxAge = leaseCopyAge
-	return watchedLease{own: ledger.Ledger{Store: n.cache, Shard: Shard}, copies: ledger.Ledger{Store: f, Shard: Shard}}
+	f.MaxAge = maxLeaseCopyAge
+	return watchedLease{direct: ledger.Ledger{Store: n.cache, Shard: Shard}, copies: ledger.Ledger{Store: f, Shard: Shard}}
 }
 
 func (n *Node) readLease(ctx context.Context) (ledger.Lease, error) {
-	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, leaseReadTimeout)
 	defer cancel()
 	if n.watches() {
-		return n.lease.own.Lease(ctx)
+		return n.lease.direct.Lease(ctx)
 	}
 	return n.lease.copies.Lease(ctx)
 }
 
-// releaseFeed tells of leases that are given back.
+// releaseFeed returns a feed that reports when the lease is released.
 func (n *Node) releaseFeed() *feed {
 	return &feed{
 		Needed: n.watches,
@@ -128,11 +133,11 @@
 	}
 }
 
-// hold claims the lease and schedules until it is lost.
-func (n *Node) hold(ctx context.Context, lease ledger.Lease, since time.Time) {
+// claimAndSchedule claims the lease and schedules until the lease is lost.
+func (n *Node) claimAndSchedule(ctx context.Context, lease ledger.Lease, since time.Time) {
 	slept := n.platform.Slept()
 	n.Figures.Count("leases_tried")
-	tenure, err := n.ledger.Claim(ctx, n.holder, lease, since)
+	term, err := n.ledger.Claim(ctx, n.holder, lease, since)
 	if err != nil {
 		if !errors.Is(err, ledger.ErrReplaced) {
 			n.log.Warn("node: unable to claim the lease", logsink.Error(err))
@@ -141,14 +146,14 @@
 		return
 	}
 	n.Figures.Count("leases_claimed")
-	n.log.Info("node: lease claimed", zap.Int64("epoch", tenure.Epoch()), zap.String("from", lease.Holder))
+	n.log.Info("node: lease claimed", zap.Int64("epoch", term.Epoch()), zap.String("from", lease.Holder))
 	s := &scheduler.Scheduler{
 		Ledger: n.ledger, Directory: n.platform.Directory(n.store, &n.Figures), Orders: n.platform.Orders, Configuration: n.Configuration, Halls: n.Halls,
 		Slept: n.platform.Slept, SleptBefore: slept,
 		Bounds: n.settings.Load().Bounds, Log: n.log, Figures: &n.Figures,
 	}
 	n.scheduler.Store(s)
-	err = s.Run(ctx, tenure)
+	err = s.Run(ctx, term)
 	n.scheduler.Store(nil)
-	n.log.Info("node: lease over", zap.Int64("epoch", tenure.Epoch()), logsink.Error(err))
+	n.log.Info("node: lease over", zap.Int64("epoch", term.Epoch()), logsink.Error(err))
 }
--- a/internal/node/halls.go
+++ b/internal/node/halls.go
@@ -10,21 +10,22 @@
 	"go.uber.org/zap"
 )
 
-// HallsReport is what a box tells operators of emptied halls.
+// HallsReport shows operators which halls this box treats as emptied.
 type HallsReport struct {
-	Known   bool     `json:"known"`   // It has heard from the operator.
-	Emptied []string `json:"emptied"` // Halls that get nothing new, sorted.
-	AgeMs   int64    `json:"age_ms"`  // Nothing that the operator said before that is missing.
+	Known   bool     `json:"known"`   // Whether the box has read the instructions of the operator.
+	Emptied []string `json:"emptied"` // Halls in which nothing new starts, sorted.
+	AgeMs   int64    `json:"age_ms"`  // Age of the information, in milliseconds; it includes every earlier change.
 }
 
-// knownHalls is which halls are emptied, as it was read.
+// knownHalls records which halls were emptied at the last read.
 type knownHalls struct {
 	queue.Halls
-	slept time.Duration // How long the machine had been suspended in all as it was asked for.
+	slept time.Duration // Total time the machine had been suspended when the read began.
 }
 
-// Halls returns which halls are emptied, as last heard. A time in which the machine was suspended since counts, though the clock did not show it: until the box has asked
-// anew, what it knew may be too old for anything to start.
+// Halls returns which halls are emptied, as last read. Time in which the machine was suspended since then counts
+// towards the age of the information, although the clock does not include it: until the box reads the halls again,
+// the information may be too old for anything to start.
 func (n *Node) Halls() queue.Halls {
 	known := n.halls.Load()
 	if known == nil {
@@ -35,7 +36,7 @@
 	return halls
 }
 
-// hallsReport is what this box knows now.
+// hallsReport returns what this box currently knows of emptied halls.
 func (n *Node) hallsReport() HallsReport {
 	halls := n.Halls()
 	if halls.AsOf.IsZero() {
@@ -44,10 +45,10 @@
 	return HallsReport{Known: true, Emptied: halls.Emptied, AgeMs: time.Since(halls.AsOf).Milliseconds()}
 }
 
-// serveHalls answers operators who ask which halls the box takes as emptied.
+// serveHalls shows operators which halls this box treats as emptied.
 func (n *Node) serveHalls(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(n.hallsReport()); err != nil {
-		n.log.Warn("node: unable to tell the halls", zap.String("to", "operator"), logsink.Error(err))
+		n.log.Warn("node: unable to send the halls report", zap.String("to", "operator"), logsink.Error(err))
 	}
 }
--- a/internal/node/halls_test.go
+++ b/internal/node/halls_test.go
@@ -33,7 +33,7 @@
 func playEmptied(t *testing.T, w *world, before, after string) {
 	commands := []string{"site 3", "boxes 3", "workers 12 rack 2 halls 3", "sleep 500ms"}
 	play(t, w, commands)
-	var caller work
+	var caller submitter
 	caller.run(w)
 	play(t, w, []string{"sleep 2s"})
 	play(t, w, strings.Split(before, ";"))
@@ -41,11 +41,11 @@
 	play(t, w, strings.Split(after, ";"))
 	play(t, w, []string{"sleep 12s", "store up", "reopen hall-1"})
 	caller.stop()
-	quicktest.Assert(t, w.broken(), quicktest.HasLen, 0)
+	quicktest.Assert(t, w.violations(), quicktest.HasLen, 0)
 	for id := range w.accepted {
 		quicktest.Assert(t, w.await(id, job.Completed.String(), "60s"), quicktest.IsNil, quicktest.Commentf("%s", id))
 	}
-	quicktest.Assert(t, w.broken(), quicktest.HasLen, 0)
+	quicktest.Assert(t, w.violations(), quicktest.HasLen, 0)
 }
 
 func play(t *testing.T, w *world, commands []string) {
@@ -56,24 +56,24 @@
 	}
 }
 
-// work is a caller that hands jobs in, one after the other.
-type work struct {
-	over chan struct{}
-	done chan struct{}
+// submitter is a caller that hands jobs in, one after the other.
+type submitter struct {
+	stopping chan struct{}
+	done     chan struct{}
 }
 
-// workEvery is the pause between two jobs.
-const workEvery = 150 * time.Millisecond
+// submitInterval is the pause between two jobs.
+const submitInterval = 150 * time.Millisecond
 
-func (c *work) run(w *world) {
-	c.over, c.done = make(chan struct{}), make(chan struct{})
+func (c *submitter) run(w *world) {
+	c.stopping, c.done = make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(c.done)
 		for n := 0; ; n++ {
 			select {
-			case <-c.over:
+			case <-c.stopping:
 				return
-			case <-time.After(workEvery):
+			case <-time.After(submitInterval):
 			}
 			shape := [...]string{"normal desk-key gpu 8 work 700ms", "urgent court-key tasks 2 gpu 4 work 500ms gang", "bulk desk-key tasks 6 gpu 2 work 900ms"}[n%3]
 			_ = w.submitWords(strings.Fields(fmt.Sprintf("job%d %s", n, shape))) // One that no box takes during a fault is given up.
@@ -81,8 +81,8 @@
 	}()
 }
 
-func (c *work) stop() {
-	close(c.over)
+func (c *submitter) stop() {
+	close(c.stopping)
 	<-c.done
 }
 
@@ -92,7 +92,7 @@
 		report := w.boxes["box-1"].node.hallsReport()
 		quicktest.Check(t, report.Known, quicktest.IsTrue)
 		quicktest.Check(t, report.Emptied, quicktest.DeepEquals, []string{"hall-2"})
-		quicktest.Check(t, report.AgeMs <= operatorPollMost.Milliseconds(), quicktest.IsTrue, quicktest.Commentf("%d", report.AgeMs))
+		quicktest.Check(t, report.AgeMs <= maxOperatorPoll.Milliseconds(), quicktest.IsTrue, quicktest.Commentf("%d", report.AgeMs))
 		var unheard Node
 		quicktest.Check(t, unheard.hallsReport(), quicktest.DeepEquals, HallsReport{})
 	})
--- a/internal/node/random_again_test.go
+++ b/internal/node/random_again_test.go
@@ -9,23 +9,23 @@
 
 // TestRandomStartsAgain plays drawn scripts of workers that start again under their name, alone, a hall at once and again and again, during take-overs, outages of the store, behind cuts
 // and while orders are late, among jobs and tasks that crash their workers: no task runs twice, none is started beyond its attempts, and every accepted job ends.
-func TestRandomStartsAgain(t *testing.T) { checkDrawn(t, drawStartsAgain) }
+func TestRandomStartsAgain(t *testing.T) { checkDrawn(t, drawRestarts) }
 
-// givenUpAfter is how many workers must have crashed under a task before it may be given up: it can't be told from one that crashes them.
-const givenUpAfter = 3
+// crashLoopThreshold is how many workers must have crashed under a task before it may be given up: it can't be told from one that crashes them.
+const crashLoopThreshold = 3
 
-// again is a script of workers that start again, as it is drawn.
-type again struct {
-	*lives
+// restartScript is a script of workers that start again, as it is drawn.
+type restartScript struct {
+	*workerScript
 }
 
-func drawStartsAgain(r *rapid.T, shard int) []string {
-	s := &again{&lives{script: newScript(r, shard,
-		"retain 1h", "drift 0.02", fmt.Sprintf("given_up_after %d", givenUpAfter), fmt.Sprintf("boxes %d", drawnBoxes), fmt.Sprintf("workers %d rack 2 halls %d", drawnWorkers, drawnHalls), "heartbeats 1500ms")}}
+func drawRestarts(r *rapid.T, shard int) []string {
+	s := &restartScript{&workerScript{script: newScript(r, shard,
+		"retain 1h", "drift 0.02", fmt.Sprintf("given_up_after %d", crashLoopThreshold), fmt.Sprintf("boxes %d", drawnBoxes), fmt.Sprintf("workers %d rack 2 halls %d", drawnWorkers, drawnHalls), "heartbeats 1500ms")}}
 	if rapid.Bool().Draw(r, "stops take time") {
 		s.add("stop_time %dms", testStopTime.Milliseconds())
 	}
-	s.crashes()
+	s.setRestartingCrashes()
 	s.pause(40000) // Clocks and ends of the first lives have numbers of their own by then.
 	s.work()
 	for range rapid.IntRange(3, 14).Draw(r, "steps") {
@@ -36,19 +36,19 @@
 	return s.lines
 }
 
-// crashes draws how workers crash from now on.
-func (s *again) crashes() {
+// setRestartingCrashes draws how workers crash from now on.
+func (s *restartScript) setRestartingCrashes() {
 	words := rapid.SampledFrom([]string{"", " dark", " dark", " elsewhere", " dark elsewhere"}).Draw(s.T, "way")
 	s.add("crashing again%s back %dms recorded %dms unlisted %dms", words, rapid.IntRange(0, 5000).Draw(s.T, "back"), rapid.IntRange(0, 4500).Draw(s.T, "recorded"),
 		rapid.SampledFrom([]int{0, 0, 0, 300, 1500}).Draw(s.T, "unlisted"))
 }
 
-func (s *again) step() {
+func (s *restartScript) step() {
 	switch rapid.IntRange(0, 13).Draw(s.T, "what") {
 	case 0, 1:
 		s.work()
 	case 2:
-		s.crashes()
+		s.setRestartingCrashes()
 	case 3:
 		s.add("crash_hall hall-%d", rapid.IntRange(1, drawnHalls).Draw(s.T, "hall"))
 		s.pause(6000)
@@ -59,35 +59,35 @@
 	case 6:
 		s.pause(5000)
 	case 7:
-		s.late()
+		s.lateCommands()
 	case 8:
-		x := s.meet()
+		x := s.nameWorker()
 		s.add("cut %s%s", x, rapid.SampledFrom([]string{"", " holder", " others"}).Draw(s.T, "from"))
 		s.pause(1500)
 		s.restart(x)
 		s.pause(9000)
 		s.add("heal %s", x)
 	case 9:
-		s.add("former %s", s.meet())
+		s.add("former %s", s.nameWorker())
 	case 10:
 		s.job(3000)
 		s.lines[len(s.lines)-1] += fmt.Sprintf(" crashes %dms", rapid.SampledFrom([]int{0, 10, 50, 2500}).Draw(s.T, "after"))
 	default:
-		s.restart(s.meet())
+		s.restart(s.nameWorker())
 	}
 }
 
 // restart has a worker start again, once or a few times.
-func (s *again) restart(x string) {
+func (s *restartScript) restart(x string) {
 	for range rapid.SampledFrom([]int{1, 1, 1, 3}).Draw(s.T, "times") {
 		s.add("restart %s", x)
 		s.pause(2500)
 	}
 }
 
-// late has orders carried out late, mostly by the next life.
-func (s *again) late() {
-	x := s.meet()
+// lateCommands has orders carried out late, mostly by the next life.
+func (s *restartScript) lateCommands() {
+	x := s.nameWorker()
 	by := rapid.IntRange(500, 12000).Draw(s.T, "by")
 	s.add("%s %s %d %dms", rapid.SampledFrom([]string{"late", "late", "late_looks"}).Draw(s.T, "order"), x, rapid.IntRange(1, 4).Draw(s.T, "orders"), by)
 	s.work()
--- a/internal/node/random_calm_test.go
+++ b/internal/node/random_calm_test.go
@@ -12,7 +12,7 @@
 func TestRandomCalms(t *testing.T) { checkDrawn(t, drawCalm) }
 
 func drawCalm(r *rapid.T, shard int) []string {
-	s := &lives{script: &script{T: r, lines: drawLives(r, shard), killed: map[string]bool{}, gone: map[string]bool{}}, named: drawnNames}
+	s := &workerScript{script: &script{T: r, lines: drawLostWorkers(r, shard), killed: map[string]bool{}, gone: map[string]bool{}}, names: drawnNames}
 	s.jobs = drawnNames
 	s.add("sleep 21s") // All has been well for long.
 	for range rapid.IntRange(1, 6).Draw(r, "jobs in calm") {
--- a/internal/node/random_lives_test.go
+++ b/internal/node/random_lives_test.go
@@ -10,20 +10,20 @@
 
 // TestRandomLives plays drawn scripts of workers that live and look gone, or that end their process with their work, among jobs, take-overs and
 // outages of the store: no task runs twice, none is started beyond its attempts, and every accepted job ends.
-func TestRandomLives(t *testing.T) { checkDrawn(t, drawLives) }
+func TestRandomLives(t *testing.T) { checkDrawn(t, drawLostWorkers) }
 
-// leastLeft is how many workers of a drawn site stay, so that there is room for every job that is drawn.
-const leastLeft = 5
+// minWorkersLeft is how many workers of a drawn site stay, so that there is room for every job that is drawn.
+const minWorkersLeft = 5
 
-// lives is a script of workers that look gone, as it is drawn.
-type lives struct {
+// workerScript is a script of workers that look gone, as it is drawn.
+type workerScript struct {
 	*script
-	named int
+	names int
 	lost  int // Workers that end, or take nothing any more.
 }
 
-func drawLives(r *rapid.T, shard int) []string {
-	s := &lives{script: &script{T: r, lines: []string{
+func drawLostWorkers(r *rapid.T, shard int) []string {
+	s := &workerScript{script: &script{T: r, lines: []string{
 		"retain 1h",  // Longer than any script, so that each job can be asked for at the end.
 		"drift 0.02", // As slow as clocks of workers may be.
 		fmt.Sprintf("boxes %d", drawnBoxes), fmt.Sprintf("workers %d rack 4", drawnWorkers), "heartbeats 1500ms",
@@ -49,7 +49,7 @@
 		case 5:
 			s.add("part %s", rapid.SampledFrom([]string{"box-1", "box-2", "holder"}).Draw(r, "part"))
 		default:
-			s.looksGone()
+			s.addWorkerFaults()
 		}
 	}
 	s.add("store up")
@@ -58,96 +58,96 @@
 }
 
 // work draws a job whose tasks run long enough for something to happen to their workers.
-func (s *lives) work() {
+func (s *workerScript) work() {
 	s.job(500)
 	s.pause(1500)
 }
 
-func (s *lives) pause(most int) {
+func (s *workerScript) pause(most int) {
 	s.add("sleep %dms", rapid.IntRange(1, most).Draw(s.T, "ms"))
 }
 
-// meet names a worker on which a drawn task runs.
-func (s *lives) meet() string {
-	s.named++
-	name := fmt.Sprintf("x%d", s.named)
+// nameWorker names a worker on which a drawn task runs.
+func (s *workerScript) nameWorker() string {
+	s.names++
+	name := fmt.Sprintf("x%d", s.names)
 	s.add("meet %s j%d %d %s", name, rapid.IntRange(1, s.jobs).Draw(s.T, "job"), rapid.IntRange(0, 3).Draw(s.T, "index"), s.worker())
 	return name
 }
 
-// looksGone draws what happens to one worker, or to two at a time.
-func (s *lives) looksGone() {
-	x := s.meet()
+// addWorkerFaults draws what happens to one worker, or to two at a time.
+func (s *workerScript) addWorkerFaults() {
+	x := s.nameWorker()
 	if rapid.IntRange(0, 3).Draw(s.T, "pair") == 0 {
-		y := s.meet()
-		s.begin(y)
-		s.one(x)
-		s.end(y)
+		y := s.nameWorker()
+		s.beginFault(y)
+		s.addWorkerFault(x)
+		s.endFault(y)
 		return
 	}
-	s.one(x)
+	s.addWorkerFault(x)
 }
 
-// one draws what happens to a worker.
-func (s *lives) one(x string) {
+// addWorkerFault draws what happens to a worker.
+func (s *workerScript) addWorkerFault(x string) {
 	switch rapid.SampledFrom([]string{"away", "away", "away", "away", "leave", "unsaid", "with work", "with work", "held back", "fail", "fail everywhere", "replaced", "island"}).Draw(s.T, "kind") {
 	case "leave":
-		if s.loses(1) {
+		if s.mayLose(1) {
 			s.add("drain %s %dms", x, rapid.SampledFrom([]int{500, 1800, 4000}).Draw(s.T, "leaves"))
 			s.pause(3000)
-			s.servesOn(x)
+			s.loseRecord(x)
 		}
 	case "unsaid":
-		if s.loses(1) {
-			s.servesOn(x)
+		if s.mayLose(1) {
+			s.loseRecord(x)
 		}
 	case "with work":
-		if s.loses(2) { // The one that leaves, and the one that ends with the job.
-			s.endsWith(x)
+		if s.mayLose(2) { // The one that leaves, and the one that ends with the job.
+			s.endWithJob(x)
 		}
 	case "held back":
 		s.add("hold_back %s %dms", x, rapid.IntRange(1, 2500).Draw(s.T, "ms"))
 	case "fail":
 		s.add("%s %s", rapid.SampledFrom([]string{"fail", "spoil"}).Draw(s.T, "fault"), x)
-		s.begin(x)
+		s.beginFault(x)
 		s.pause(5000)
-		s.end(x)
+		s.endFault(x)
 		s.add("well %s", x)
 		s.add("unspoil %s", x)
 	case "fail everywhere":
 		s.failEverywhere(x)
 	case "island":
-		s.island()
+		s.isolateHolder()
 	case "replaced":
 		s.add("%s %s others", rapid.SampledFrom([]string{"cut", "shut"}).Draw(s.T, "from"), x)
 		s.add("part holder")
 		s.add("store %s holder", rapid.SampledFrom([]string{"cut", "refuse"}).Draw(s.T, "how"))
 		s.pause(9000)
 		s.add("store up")
-		s.end(x)
+		s.endFault(x)
 	default:
-		s.begin(x)
+		s.beginFault(x)
 		s.pause(9000)
-		s.end(x)
+		s.endFault(x)
 	}
 }
 
 // failEverywhere has tasks use their attempts up, also over a take-over.
-func (s *lives) failEverywhere(x string) {
+func (s *workerScript) failEverywhere(x string) {
 	s.add("spoil all")
 	s.add("fail %s", x)
 	if rapid.Bool().Draw(s.T, "at once") {
 		s.boxFault()
 	}
-	s.begin(x)
+	s.beginFault(x)
 	s.pause(8000)
-	s.end(x)
+	s.endFault(x)
 	s.add("unspoil all")
 	s.add("well %s", x)
 }
 
-// island has the box with the lease replaced while no other box reaches the workers.
-func (s *lives) island() {
+// isolateHolder has the box with the lease replaced while no other box reaches the workers.
+func (s *workerScript) isolateHolder() {
 	s.job(8000)
 	s.lines[len(s.lines)-1] = strings.Replace(s.lines[len(s.lines)-1], "work ", "work 3", 1) // 38 s and more.
 	s.pause(1500)
@@ -156,20 +156,20 @@
 	s.add("store %s holder", rapid.SampledFrom([]string{"cut", "refuse"}).Draw(s.T, "how"))
 	s.pause(30000)
 	s.add("store up")
-	s.end("all")
+	s.endFault("all")
 }
 
-// loses reports whether some more workers may go.
-func (s *lives) loses(n int) bool {
-	if s.lost+n > drawnWorkers-leastLeft {
+// mayLose reports whether some more workers may go.
+func (s *workerScript) mayLose(n int) bool {
+	if s.lost+n > drawnWorkers-minWorkersLeft {
 		return false
 	}
 	s.lost += n
 	return true
 }
 
-// begin draws how a worker comes to look gone, or is hard to reach.
-func (s *lives) begin(x string) {
+// beginFault draws how a worker comes to look gone, or is hard to reach.
+func (s *workerScript) beginFault(x string) {
 	from := rapid.SampledFrom([]string{"", "", " holder", " others"}).Draw(s.T, "from")
 	switch rapid.SampledFrom([]string{"cut", "shut", "shut", "shut, cut", "mute", "late", "record"}).Draw(s.T, "sign") {
 	case "cut":
@@ -194,15 +194,15 @@
 	}
 }
 
-// end ends what begin began.
-func (s *lives) end(x string) {
+// endFault ends what begin began.
+func (s *workerScript) endFault(x string) {
 	s.add("open %s", x)
 	s.add("heal %s", x)
 	s.add("record %s", x)
 }
 
-// servesOn has a worker lose its record, serve on with some answers lost, and end.
-func (s *lives) servesOn(x string) {
+// loseRecord has a worker lose its record, serve on with some answers lost, and end.
+func (s *workerScript) loseRecord(x string) {
 	s.add("forget %s", x)
 	s.add("mute %s %d", x, rapid.IntRange(0, 3).Draw(s.T, "orders"))
 	s.pause(7000)
@@ -211,8 +211,8 @@
 	}
 }
 
-// endsWith has a worker's process end with a drawn job, at any time, as the worker said, or once it has stayed for as long as one does that says nothing.
-func (s *lives) endsWith(x string) {
+// endWithJob has a worker's process end with a drawn job, at any time, as the worker said, or once it has stayed for as long as one does that says nothing.
+func (s *workerScript) endWithJob(x string) {
 	words := rapid.SampledFrom([]string{"", " lost", " lost", " crash", " lost crash"}).Draw(s.T, "way")
 	j := rapid.IntRange(1, s.jobs).Draw(s.T, "job")
 	switch rapid.IntRange(0, 3).Draw(s.T, "said") {
@@ -222,7 +222,7 @@
 		s.add("drain %s %dms", x, rapid.IntRange(500, 8000).Draw(s.T, "leaves"))
 		words += " due"
 	case 2:
-		s.add("leave_unsaid %s %dms", x, rapid.IntRange(int(testStays.Milliseconds()), 8000).Draw(s.T, "stays"))
+		s.add("leave_unsaid %s %dms", x, rapid.IntRange(int(testStayTime.Milliseconds()), 8000).Draw(s.T, "stays"))
 		words += " due"
 	}
 	s.add("ends_with j%d%s", j, words)
--- a/internal/node/random_test.go
+++ b/internal/node/random_test.go
@@ -19,13 +19,13 @@
 const (
 	drawnBoxes   = 3
 	drawnWorkers = 8
-	// settleWithin is how long every job may take to end once all faults are over: the longest lease, some runs, and
+	// settleTimeout is how long every job may take to end once all faults are over: the longest lease, some runs, and
 	// waiting for room.
-	settleWithin = 3 * time.Minute
-	// settleLateWithin is the same where work takes up to lateWork, and tasks crash five workers after up to lateCrash.
-	settleLateWithin = 25 * time.Minute
-	lateWork         = 120 * time.Second
-	lateCrash        = 90 * time.Second
+	settleTimeout = 3 * time.Minute
+	// longSettleTimeout is the same where work takes up to longWork, and tasks crash five workers after up to lateCrash.
+	longSettleTimeout = 25 * time.Minute
+	longWork          = 120 * time.Second
+	lateCrash         = 90 * time.Second
 )
 
 // TestRandomFaults plays drawn scripts of jobs and faults: whatever comes in whatever order, no task runs twice, nothing
@@ -44,14 +44,14 @@
 func TestRandomLateCrashes(t *testing.T) { checkParts(t, lateParts, drawLateCrashes) }
 
 // TestRandomSecondStarts does the same while boxes that live are started a second time.
-func TestRandomSecondStarts(t *testing.T) { checkParts(t, secondParts, drawSecondStarts) }
+func TestRandomSecondStarts(t *testing.T) { checkParts(t, secondStartParts, drawSecondStarts) }
 
 const (
 	// drawnParts is in how many parts scripts are drawn, beside each other, and lateParts the same of those that last for many minutes,
-	// secondParts of those with second starts.
-	drawnParts  = 8
-	lateParts   = 2
-	secondParts = 2
+	// secondStartParts of those with second starts.
+	drawnParts       = 8
+	lateParts        = 2
+	secondStartParts = 2
 )
 
 func checkDrawn(t *testing.T, draw func(r *rapid.T, shard int) []string) {
@@ -88,16 +88,16 @@
 			return errors.WithMessage(err, line) // A call that fails in a fault is no failure.
 		}
 	}
-	within := settleWithin
+	within := settleTimeout
 	if slices.ContainsFunc(lines, func(line string) bool { return strings.HasPrefix(line, "retain") }) {
-		within = settleLateWithin
+		within = longSettleTimeout
 	}
 	ended, err := w.awaitAll(within)
 	if err != nil {
 		return err
 	}
 	time.Sleep(testMaxLease)
-	if broken := w.broken(); len(broken) > 0 {
+	if broken := w.violations(); len(broken) > 0 {
 		return errors.Errorf("broken: %v", broken)
 	}
 	for id, state := range ended {
@@ -182,7 +182,7 @@
 		case 0:
 			s.add("%s hall-%d", rapid.SampledFrom([]string{"empty", "empty", "reopen"}).Draw(r, "operator"), rapid.IntRange(1, drawnHalls).Draw(r, "which"))
 		case 1:
-			s.leave()
+			s.leaveWorker()
 		default:
 			s.step()
 		}
@@ -196,11 +196,11 @@
 
 func drawCrashes(r *rapid.T, shard int) []string {
 	s := newScript(r, shard, fmt.Sprintf("boxes %d", drawnBoxes), fmt.Sprintf("workers %d rack 2 halls %d", 2*drawnWorkers, 2*drawnHalls), "heartbeats 1500ms")
-	s.crashing()
+	s.setCrashes()
 	for range rapid.IntRange(4, 20).Draw(r, "steps") {
 		switch rapid.IntRange(0, 6).Draw(r, "crash") {
 		case 0:
-			s.crashing()
+			s.setCrashes()
 		case 1:
 			s.add("crash_hall hall-%d", rapid.IntRange(1, 2*drawnHalls).Draw(r, "which"))
 		case 2, 3:
@@ -216,11 +216,11 @@
 
 func drawLateCrashes(r *rapid.T, shard int) []string {
 	s := newScript(r, shard, fmt.Sprintf("retain %s", time.Hour), fmt.Sprintf("boxes %d", drawnBoxes), fmt.Sprintf("workers %d rack 2 halls %d", 2*drawnWorkers, 2*drawnHalls), "heartbeats 1500ms")
-	s.crashing()
+	s.setCrashes()
 	for range rapid.IntRange(4, 20).Draw(r, "steps") {
 		switch rapid.IntRange(0, 8).Draw(r, "late") {
 		case 0:
-			s.crashing()
+			s.setCrashes()
 		case 1:
 			s.add("crash_hall hall-%d", rapid.IntRange(1, 2*drawnHalls).Draw(r, "which"))
 		case 2, 3:
@@ -242,7 +242,7 @@
 func (s *script) lateJob(least int) {
 	s.jobs++
 	words := []string{fmt.Sprintf("submit j%d normal %s tasks %d gpu %d work %dms", s.jobs, rapid.SampledFrom([]string{"desk-key", "court-key"}).Draw(s.T, "key"),
-		rapid.IntRange(1, 4).Draw(s.T, "tasks"), rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(s.T, "gpu"), rapid.IntRange(least, int(lateWork.Milliseconds())).Draw(s.T, "work"))}
+		rapid.IntRange(1, 4).Draw(s.T, "tasks"), rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(s.T, "gpu"), rapid.IntRange(least, int(longWork.Milliseconds())).Draw(s.T, "work"))}
 	for _, option := range []string{"gang", "saves"} {
 		if rapid.Bool().Draw(s.T, option) {
 			words = append(words, option)
@@ -251,8 +251,8 @@
 	s.add("%s", strings.Join(words, " "))
 }
 
-// crashing draws how workers crash from now on.
-func (s *script) crashing() {
+// setCrashes draws how workers crash from now on.
+func (s *script) setCrashes() {
 	words := rapid.SampledFrom([]string{"", " dark", " elsewhere", " dark elsewhere"}).Draw(s.T, "way")
 	s.add("crashing%s back %dms recorded %dms", words, rapid.IntRange(500, 5000).Draw(s.T, "back"), rapid.IntRange(0, 4500).Draw(s.T, "recorded"))
 }
@@ -332,8 +332,8 @@
 	}
 }
 
-// leave has a worker say that it leaves, and leave then.
-func (s *script) leave() {
+// leaveWorker has a worker say that it leaves, and leave then.
+func (s *script) leaveWorker() {
 	w := s.worker()
 	if s.gone[w] || len(s.gone) >= drawnWorkers/4 {
 		return
--- a/internal/node/script_test.go
+++ b/internal/node/script_test.go
@@ -116,7 +116,7 @@
 // and that sound long work goes on whose workers crash by themselves.
 func TestLateCrashes(t *testing.T) { playScripts(t, "late") }
 
-// TestRunsGoOn plays the scripts of testdata/lives in the same way. Tasks were started again elsewhere while they ran on, or after they had ended
+// TestRunsOnUnreachableWorkers plays the scripts of testdata/lives in the same way. Tasks were started again elsewhere while they ran on, or after they had ended
 // well, because their worker was taken for gone by signs that no page promises: it hung up and then refused connections, or its record was gone
 // and an order got no answer. On real machines workers that live show each of these. They were given up within 25 ms to some seconds, though what runs
 // there may run until its lease is over; then they were heard of again, and boxes found runs that they had placed themselves:
@@ -135,17 +135,17 @@
 //
 // The scripts hold that such a task goes on, or begins elsewhere only once the lease of its worker is surely over, that the work is done in the
 // end, and that a worker's other life, which its answer proves, is not waited for.
-func TestRunsGoOn(t *testing.T) { playScripts(t, "lives") }
+func TestRunsOnUnreachableWorkers(t *testing.T) { playScripts(t, "lives") }
 
-// TestStarts plays the scripts of testdata/starts in the same way. A box that found its own name in the lease claimed it at once, as it took the start before it for
+// TestDuplicateBoxStarts plays the scripts of testdata/starts in the same way. A box that found its own name in the lease claimed it at once, as it took the start before it for
 // dead. Where both lived, they took it from each other for ever: a new epoch every 60 to 300 ms,
 //
 //	node: lease claimed epoch=7344 from=box-1/...
 //
 // and the work never ended. The scripts hold that the later start takes over once and the earlier one gives way, however the two come about.
-func TestStarts(t *testing.T) { playScripts(t, "starts") }
+func TestDuplicateBoxStarts(t *testing.T) { playScripts(t, "starts") }
 
-// TestStartsAgain plays the scripts of testdata/again in the same way. A worker that crashed started again under its name. Its clock and the numbers of its ends
+// TestRestartedWorkers plays the scripts of testdata/again in the same way. A worker that crashed started again under its name. Its clock and the numbers of its ends
 // began anew, and reports were ordered by the clock alone: until it had passed the one that the life before had told last, each report counted as overtaken,
 //
 //	scheduler: reports of a worker are passed over worker=w1 reports=131 since=4.03s clock=4332 newest_clock=30547 last_taken=2
@@ -158,7 +158,7 @@
 //
 // The scripts hold that what ran on a life is over with it and begins anew at once, that its crash counts against its tasks, that what ends on the next life counts, and
 // that no late order, record or answer makes one life pass for the other.
-func TestStartsAgain(t *testing.T) { playScripts(t, "again") }
+func TestRestartedWorkers(t *testing.T) { playScripts(t, "again") }
 
 func playScripts(t *testing.T, folder string) {
 	files, err := filepath.Glob(filepath.Join("testdata", folder, "*.txt"))
@@ -194,11 +194,11 @@
 			t.Fatalf("%s:%d: %s: %v", file, n, lines.Text(), err)
 		}
 	}
-	quicktest.Assert(t, w.broken(), quicktest.HasLen, 0)
+	quicktest.Assert(t, w.violations(), quicktest.HasLen, 0)
 }
 
-// broken lists every promise that was broken.
-func (w *world) broken() []string {
+// violations lists every promise that was broken.
+func (w *world) violations() []string {
 	v := w.fleet.Verdict()
 	var broken []string
 	broken = append(broken, v.Twice...)
@@ -223,7 +223,7 @@
 	case "sleep":
 		return w.sleep(words[1])
 	case "lose":
-		return w.loseHall(words[1])
+		return w.killHall(words[1])
 	case "kill", "start", "stop", "freeze":
 		return w.boxCommand(words)
 	case "store":
@@ -231,13 +231,13 @@
 	case "crashing":
 		return w.crashCommand(words[1:])
 	case "reason", "why", "figure":
-		return w.tellCommand(words)
+		return w.reportCommand(words)
 	case "strike":
-		return w.strike(words[1], job.ID(words[2]))
+		return w.failWorkerOf(words[1], job.ID(words[2]))
 	case "name", "meet":
 		return w.nameWorker(words)
 	case "retain":
-		return w.retained(words[1])
+		return w.setRetention(words[1])
 	case "drift":
 		return w.drift(words[1])
 	case "given_up_after":
@@ -248,11 +248,11 @@
 		w.fleet.SetUntold(true)
 		return nil
 	case "stop_time":
-		return w.stopsTake(words[1])
+		return w.setStopTime(words[1])
 	case "sound":
-		return w.sound()
+		return w.healWorkers()
 	case "ends_with":
-		w.endWith(job.ID(words[1]), words[2:])
+		w.endWorkerWith(job.ID(words[1]), words[2:])
 		return nil
 	case "crash_hall":
 		w.fleet.CrashHall(words[1])
@@ -263,8 +263,8 @@
 		w.network.Cut(w.named(words[1]))
 		return nil
 	case "holder":
-		if held := w.holder(); held != w.struck {
-			return fmt.Errorf("%s has the lease, not %s", held, w.struck)
+		if held := w.holder(); held != w.rejectedBox {
+			return fmt.Errorf("%s has the lease, not %s", held, w.rejectedBox)
 		}
 		return nil
 	case "weak":
@@ -282,7 +282,7 @@
 		}
 		return err
 	case "tenures":
-		return w.tenures(words[1])
+		return w.checkLeaseTerms(words[1])
 	case "cancel":
 		return w.cancel(job.ID(words[1]))
 	case "state":
--- a/internal/node/signs_test.go
+++ b/internal/node/signs_test.go
@@ -10,8 +10,8 @@
 	"github.com/pulleyring/pulleyring/internal/job"
 )
 
-// signCommand makes a worker look gone that lives, to all boxes or to one, or ends that.
-func (w *world) signCommand(words []string, id string) error {
+// connectionCommand makes a worker look gone that lives, to all boxes or to one, or ends that.
+func (w *world) connectionCommand(words []string, id string) error {
 	if words[0] == "hold_back" || words[0] == "answers" {
 		d, err := time.ParseDuration(words[2])
 		if err != nil {
@@ -46,7 +46,7 @@
 		return []string{w.named(words[0])}
 	}
 	holder := w.holder()
-	return slices.DeleteFunc(slices.Clone(w.order), func(name string) bool { return name == holder })
+	return slices.DeleteFunc(slices.Clone(w.clientBoxes), func(name string) bool { return name == holder })
 }
 
 // nameWorker gives a name to the worker that runs a task of a job, the first one or the one of an index. It waits until the task runs, unless a
@@ -59,7 +59,7 @@
 			return err
 		}
 	}
-	for end := time.Now().Add(strikeWithin); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(runStartTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		worker, _ := w.fleet.WhereRuns(task)
 		if worker == "" && words[0] == "meet" {
 			worker = words[4]
@@ -80,13 +80,13 @@
 	return name
 }
 
-// endWith ends the process of the worker on which a job's next run is done.
-func (w *world) endWith(id job.ID, words []string) {
+// endWorkerWith ends the process of the worker on which a job's next run is done.
+func (w *world) endWorkerWith(id job.ID, words []string) {
 	w.fleet.EndWith(id, emulator.LastMoments{Lost: slices.Contains(words, "lost"), Crash: slices.Contains(words, "crash"), Due: slices.Contains(words, "due")})
 }
 
-// toAll gives a command about a worker for all that were added.
-func (w *world) toAll(words []string) error {
+// applyToAllWorkers gives a command about a worker for all that were added.
+func (w *world) applyToAllWorkers(words []string) error {
 	for _, id := range w.workers {
 		one := slices.Clone(words)
 		one[1] = id
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// stopsTake sets how long a stop takes.
-func (w *world) stopsTake(text string) error {
+// setStopTime sets how long a stop takes.
+func (w *world) setStopTime(text string) error {
 	d, err := time.ParseDuration(text)
 	w.fleet.SetStops(d)
 	return err
@@ -111,18 +111,18 @@
 	return err
 }
 
-// sound ends what was brought about on the workers that were added.
-func (w *world) sound() error {
+// healWorkers ends what was brought about on the workers that were added.
+func (w *world) healWorkers() error {
 	for _, end := range []string{"open", "heal", "record", "well", "unspoil", "take", "unstick"} {
-		if err := w.toAll([]string{end, "all"}); err != nil {
+		if err := w.applyToAllWorkers([]string{end, "all"}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// retained sets for how long jobs are shown after their end.
-func (w *world) retained(text string) error {
+// setRetention sets for how long jobs are shown after their end.
+func (w *world) setRetention(text string) error {
 	d, err := time.ParseDuration(text)
 	w.retain = d
 	return err
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// counted is what all boxes have called the store for, over their own paths.
-func (w *world) counted() map[string]int64 {
+// directCalls is what all boxes have called the store for, over their own paths.
+func (w *world) directCalls() map[string]int64 {
 	all := map[string]int64{}
 	for _, n := range w.nodes() {
 		for name, count := range n.Figures.Counters(relay.PathDirect + "_") {
@@ -39,14 +39,14 @@
 	return all
 }
 
-// TestCallsDoNotGrow holds that a site at rest watches the configuration and the lease with as many calls at 800 boxes as at 50, that each box tells of itself and
+// TestIdleStoreCallsDoNotGrowWithBoxes holds that a site at rest watches the configuration and the lease with as many calls at 800 boxes as at 50, that each box tells of itself and
 // reads of others as seldom, and that a change reaches all of them as soon.
-func TestCallsDoNotGrow(t *testing.T) {
+func TestIdleStoreCallsDoNotGrowWithBoxes(t *testing.T) {
 	for _, boxes := range sizes {
 		inSite(t, boxes, func(t *testing.T, w *world) {
-			before := w.counted()
+			before := w.directCalls()
 			time.Sleep(time.Minute)
-			after := w.counted()
+			after := w.directCalls()
 			for name, most := range map[string]int{
 				"read_lease": 10*150 + 200, "watch_release": 100, "read_operator": 10*50 + 100, "watch_operator": 100,
 				"read_boxes": 12 * boxes, "commit_boxes": 4*boxes + 200, "commit_failed": 0,
@@ -54,7 +54,7 @@
 				got := after[name] - before[name]
 				quicktest.Check(t, got <= int64(most), quicktest.IsTrue, quicktest.Commentf("%d boxes: %s %d, %d at most", boxes, name, got, most))
 			}
-			w.empty("hall-2", true)
+			w.setEmptied("hall-2", true)
 			time.Sleep(300 * time.Millisecond)
 			late := 0
 			for _, n := range w.nodes() {
@@ -67,13 +67,13 @@
 	}
 }
 
-// TestAllStartAgain holds that after all boxes were killed, and all but the one with the lease started again together, work begins as soon at 800 boxes as at
+// TestAllBoxesRestart holds that after all boxes were killed, and all but the one with the lease started again together, work begins as soon at 800 boxes as at
 // 50, few of them try for the lease, and few calls are refused for want of time.
-func TestAllStartAgain(t *testing.T) {
+func TestAllBoxesRestart(t *testing.T) {
 	for _, boxes := range sizes {
 		inSite(t, boxes, func(t *testing.T, w *world) {
 			holder := w.holder()
-			killed := slices.Clone(w.order)
+			killed := slices.Clone(w.clientBoxes)
 			for _, box := range killed {
 				play(t, w, []string{"kill " + box})
 			}
@@ -92,7 +92,7 @@
 				claims += n.Figures.Counted("leases_tried")
 			}
 			quicktest.Check(t, claims <= 12, quicktest.IsTrue, quicktest.Commentf("%d boxes: %d tried", boxes, claims))
-			failed := w.counted()["commit_failed"]
+			failed := w.directCalls()["commit_failed"]
 			quicktest.Check(t, failed <= int64(boxes), quicktest.IsTrue, quicktest.Commentf("%d boxes: %d failed", boxes, failed))
 		})
 	}
--- a/internal/node/slept_test.go
+++ b/internal/node/slept_test.go
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 )
 
-// TestASuspendedBoxKnowsItsAge: the machine of a box was suspended, and its clock did not count that time. The box woke and took what it had heard of emptied halls before for
+// TestSuspensionAgesEmptiedHalls: the machine of a box was suspended, and its clock did not count that time. The box woke and took what it had heard of emptied halls before for
 // fresh, so that work could start in a hall that was emptied meanwhile. What it hears after it woke is fresh again.
-func TestASuspendedBoxKnowsItsAge(t *testing.T) {
+func TestSuspensionAgesEmptiedHalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slept atomic.Int64
 		slept.Store(int64(time.Hour)) // Before the box began.
@@ -24,7 +24,7 @@
 			return time.Since(halls.AsOf)
 		}
 		hear := func() {
-			n.takeHalls(&knownHalls{queue.Halls{AsOf: time.Now()}, p.Slept()})
+			n.applyHalls(&knownHalls{queue.Halls{AsOf: time.Now()}, p.Slept()})
 		}
 		hear()
 		time.Sleep(time.Second)
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap"
 )
 
-// TestEarlierStartEnds runs a box a second time beside itself, over real connections: the earlier start is not ready any more and ends by itself, with an error that names
+// TestEarlierStartStops runs a box a second time beside itself, over real connections: the earlier start is not ready any more and ends by itself, with an error that names
 // the later one, which goes on.
-func TestEarlierStartEnds(t *testing.T) {
+func TestEarlierStartStops(t *testing.T) {
 	w := newWorld(t.Context(), 1, zap.NewNop())
 	run := func(ctx context.Context, relay string) (*Node, chan error) {
 		gate := &emulator.Gate{Box: "box-1"}
@@ -42,7 +42,7 @@
 	second, secondEnded := run(ctx, "localhost:0")
 	select {
 	case err := <-firstEnded:
-		quicktest.Assert(t, err, quicktest.ErrorIs, ErrOutranked)
+		quicktest.Assert(t, err, quicktest.ErrorIs, ErrSuperseded)
 		quicktest.Assert(t, err, quicktest.ErrorMatches, `box box-1, start 2 \(.+\) at localhost:0; this is start 1 at 127.0.0.1:0: .*`)
 	case <-time.After(15 * time.Second):
 		t.Fatal("the earlier start goes on")
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestStartsGoOnFromEarlierRows numbers a start after one that an earlier version wrote beside the scheduler's rows, and finds it again.
-func TestStartsGoOnFromEarlierRows(t *testing.T) {
+// TestStartNumbersContinueFromOldRows numbers a start after one that an earlier version wrote beside the scheduler's rows, and finds it again.
+func TestStartNumbersContinueFromOldRows(t *testing.T) {
 	inEmptyWorld(t, func(t *testing.T, w *world) {
 		raw, err := cbor.Marshal(ledger.Start{Number: 7, Name: "before"})
 		quicktest.Assert(t, err, quicktest.IsNil)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -10,47 +10,49 @@
 )
 
 const (
-	// feedWait is how long a feed waits for a change.
+	// feedWait is how long one call of a feed waits for a change.
 	feedWait = 10 * time.Second
-	// retryPause is the pause after a call to the store failed; for boxes that only follow others it doubles up to retryMost.
-	retryPause = 150 * time.Millisecond
-	retryMost  = 1200 * time.Millisecond
-	// roleCheck is how often a box that does not watch the store for others checks whether it is to.
-	roleCheck = 500 * time.Millisecond
+	// retryPause is the pause after a failed call to the store. On boxes that do not watch the store it doubles after
+	// each failure, up to maxRetryPause.
+	retryPause    = 150 * time.Millisecond
+	maxRetryPause = 1200 * time.Millisecond
+	// roleCheckInterval is how often a box that does not watch the store checks whether it should.
+	roleCheckInterval = 500 * time.Millisecond
 )
 
-// backoff is the pause after failed calls in a row. The zero value is that before the first.
+// backoff is the pause after consecutive failed calls. The zero value is ready to use.
 type backoff struct {
 	pause time.Duration
 }
 
-// sleep waits after a failed call: longer each time, except on a box that watches the store for others.
+// sleep waits after a failed call. The pause doubles each time, except on a box that watches the store for others.
 func (b *backoff) sleep(ctx context.Context, watches bool) {
-	b.pause = min(max(2*b.pause, retryPause), retryMost)
+	b.pause = min(max(2*b.pause, retryPause), maxRetryPause)
 	if watches {
 		b.pause = retryPause
 	}
 	interval.Sleep(ctx, b.pause)
 }
 
-// succeeded begins anew.
-func (b *backoff) succeeded() { b.pause = 0 }
+// reset restores the first pause after a successful call.
+func (b *backoff) reset() { b.pause = 0 }
 
-// feed is rows whose changes can be waited for.
+// feed waits for changes of some rows.
 type feed struct {
-	// Needed reports whether anybody needs to know of changes now.
+	// Needed reports whether changes are currently of interest.
 	Needed func() bool
-	// Wait returns after a change past a version, or after feedWait, with the version to go on from.
+	// Wait returns when something has changed since a version, or after feedWait, and returns the version to wait
+	// from next.
 	Wait func(ctx context.Context, since int64) (int64, error)
-	// Newest returns the version to go on from once the history before is gone.
+	// Newest returns the version to wait from once the store has discarded its history.
 	Newest func(ctx context.Context) (int64, error)
 }
 
-// watch signals each change of a feed past a version until ctx ends.
+// watch signals each change after a version until ctx ends.
 func (f *feed) watch(ctx context.Context, version int64, changed chan<- struct{}) {
 	for ctx.Err() == nil {
 		if !f.Needed() {
-			interval.Sleep(ctx, roleCheck)
+			interval.Sleep(ctx, roleCheckInterval)
 			continue
 		}
 		next, err := f.Wait(ctx, version)
--- a/internal/node/why.go
+++ b/internal/node/why.go
@@ -14,31 +14,33 @@
 	"go.uber.org/zap"
 )
 
-// whyWithin bounds the reads for an operator's question.
-const whyWithin = 2 * time.Second
+// whyTimeout limits the reads that answer one request of an operator.
+const whyTimeout = 2 * time.Second
 
-// WhyReport is how a job stands and why, for operators. Times are those of the last commit of the box that schedules.
+// WhyReport shows operators the state of a job and its reasons, as of the last commit of the box that schedules.
 type WhyReport struct {
 	Job       string       `json:"job"`
 	State     string       `json:"state"`
 	Reason    string       `json:"reason,omitempty"` // Why it has failed.
 	Steps     []StepReport `json:"steps"`
-	Scheduler bool         `json:"scheduler"`       // The box that answers schedules, so that it can tell what is waited for.
+	Scheduler bool         `json:"scheduler"`       // Whether the answering box schedules; only it knows Waits.
 	Waits     []string     `json:"waits,omitempty"` // What tasks wait for.
-	Notes     []string     `json:"notes,omitempty"` // What else an operator should know of the box that answers.
+	Notes     []string     `json:"notes,omitempty"` // Further notes on the answering box.
 }
 
-// StepReport counts the tasks of one step of a job, over all its times.
+// StepReport counts the tasks of one step of a job, over all occurrences of the job.
 type StepReport struct {
 	Waiting  int `json:"waiting"`
 	Placed   int `json:"placed"`
 	Finished int `json:"finished"`
-	Failures int `json:"failures"` // Failed runs; of a gang those of the whole.
-	Lost     int `json:"lost"`     // Workers lost under its tasks without notice, for each task; from the third one on also starts that ended otherwise.
-	Counted  int `json:"counted"`  // Those of them that may be the tasks' doing.
+	Failures int `json:"failures"` // Failed runs; for a gang those of the whole gang.
+	// Lost counts, per task, workers that were lost without notice; from the third one on also starts that ended in
+	// another way.
+	Lost    int `json:"lost"`
+	Counted int `json:"counted"` // Those of Lost that the tasks may have caused.
 }
 
-// Why returns how a job stands. The error is entry.ErrNoJob or the store's.
+// Why returns the state of a job and its reasons. The error is entry.ErrNoJob or an error of the store.
 func (n *Node) Why(ctx context.Context, id job.ID) (*WhyReport, error) {
 	r, err := n.ledger.Request(ctx, id)
 	if err != nil {
@@ -51,9 +53,9 @@
 	if err != nil {
 		return nil, err
 	}
-	life := job.NewLife(r, p)
-	report := &WhyReport{Job: string(id), State: life.Progress.State.String(), Reason: life.Progress.Failure.Text(), Steps: stepReports(life)}
-	if note := n.elsewhere.Load(); note != nil {
+	tracker := job.NewLife(r, p)
+	report := &WhyReport{Job: string(id), State: tracker.Progress.State.String(), Reason: tracker.Progress.Failure.Text(), Steps: stepReports(tracker)}
+	if note := n.addressNote.Load(); note != nil {
 		report.Notes = append(report.Notes, *note)
 	}
 	if s := n.scheduler.Load(); s != nil {
@@ -62,6 +64,7 @@
 	return report, nil
 }
 
+// stepReports returns the counts of each step of a job.
 func stepReports(l *job.Life) []StepReport {
 	reports := make([]StepReport, len(l.Request.Steps))
 	for i := range l.Progress.Tasks {
@@ -82,9 +85,9 @@
 	return reports
 }
 
-// serveWhy answers operators who ask why a job stands as it does.
+// serveWhy shows operators the state of a job and its reasons.
 func (n *Node) serveWhy(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), whyWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), whyTimeout)
 	defer cancel()
 	id := job.ID(chi.URLParam(r, "job"))
 	report, err := n.Why(ctx, id)
@@ -93,12 +96,12 @@
 		return
 	}
 	if err != nil {
-		n.log.Warn("node: unable to tell why", zap.String("job", string(id)), logsink.Error(err))
+		n.log.Warn("node: unable to read the state of a job for an operator", zap.String("job", string(id)), logsink.Error(err))
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(report); err != nil {
-		n.log.Warn("node: unable to answer why", zap.String("job", string(id)), logsink.Error(err))
+		n.log.Warn("node: unable to send the state of a job to an operator", zap.String("job", string(id)), logsink.Error(err))
 	}
 }
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -26,7 +26,7 @@
 	testMaxLease      = 6 * time.Second
 	testGangWait      = 3 * time.Second
 	testStopTime      = 400 * time.Millisecond
-	testStays         = 2 * time.Second
+	testStayTime      = 2 * time.Second
 	testConfiguration = 3 * time.Second
 	// testEmptied is the time after a hall was emptied within which work may still start there.
 	testEmptied = 5 * time.Second
@@ -43,25 +43,25 @@
 	log      *zap.Logger
 	halls    []string
 
-	mu       sync.Mutex
-	struck   string // The box that the store turned away last.
-	boxes    map[string]*testBox
-	order    []string
-	group    sync.WaitGroup
-	accepted map[job.ID]*job.Request
-	poisoned map[job.ID]bool   // Jobs with a task that crashes its workers.
-	names    map[string]string // Workers that the script has named.
-	workers  []string
-	retain   time.Duration // For how long a job is shown after its end.
+	mu          sync.Mutex
+	rejectedBox string // The box that the store turned away last.
+	boxes       map[string]*testBox
+	clientBoxes []string
+	group       sync.WaitGroup
+	accepted    map[job.ID]*job.Request
+	poisoned    map[job.ID]bool   // Jobs with a task that crashes its workers.
+	names       map[string]string // Workers that the script has named.
+	workers     []string
+	retain      time.Duration // For how long a job is shown after its end.
 }
 
 // testBox is a box with the means to end it.
 type testBox struct {
-	node   *Node
-	gate   *emulator.Gate
-	plan   context.CancelFunc // Ends it as planned.
-	kill   context.CancelFunc
-	killed context.Context // Over once it was killed.
+	node     *Node
+	gate     *emulator.Gate
+	shutDown context.CancelFunc // Ends it as planned.
+	kill     context.CancelFunc
+	killed   context.Context // Over once it was killed.
 }
 
 // operator is what tests want of the system. It is written to the store, and read from there over a box's path.
@@ -99,8 +99,8 @@
 	return page.Version, err
 }
 
-// empty has a hall emptied, or taken back.
-func (w *world) empty(hall string, emptied bool) {
+// setEmptied has a hall emptied, or taken back.
+func (w *world) setEmptied(hall string, emptied bool) {
 	key := store.Key{Table: operatorTable, Name: hall}
 	tx := &store.Transaction{Deletes: []store.Key{key}}
 	if emptied {
@@ -142,7 +142,7 @@
 		Directory:      func(store.Store, *measure.Figures) scheduler.Directory { return view },
 	}
 	s := &Settings{Box: name, Hall: name[:strings.LastIndex(name, "-")], Relay: name, Halls: w.halls, ConfigurationWithin: testConfiguration, StopAfter: 6 * time.Second, Bounds: scheduler.Bounds{
-		MaxLease: testMaxLease, StopTime: testStopTime, Stays: testStays, GangWait: testGangWait, Retain: w.retain, Emptied: testEmptied,
+		MaxLease: testMaxLease, StopTime: testStopTime, Stays: testStayTime, GangWait: testGangWait, Retain: w.retain, Emptied: testEmptied,
 		Policy: placement.Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: testStopTime, WasteCost: 0.0015},
 	}}
 	n := New(s, p, w.log.With(zap.String("box", name)))
@@ -151,8 +151,8 @@
 	planned, plan := context.WithCancel(killed)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !slices.Contains(w.order, name) {
-		w.order = append(w.order, name)
+	if !slices.Contains(w.clientBoxes, name) {
+		w.clientBoxes = append(w.clientBoxes, name)
 	}
 	w.boxes[name] = &testBox{n, gate, plan, kill, killed}
 	w.group.Go(func() { n.Work(planned, killed) })
@@ -190,7 +190,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var nodes []*Node
-	for _, name := range w.order {
+	for _, name := range w.clientBoxes {
 		nodes = append(nodes, w.boxes[name].node)
 	}
 	return nodes
@@ -209,7 +209,7 @@
 // state asks the boxes for a job's state.
 func (w *world) state(id job.ID) (job.State, error) {
 	var err error
-	for _, name := range w.order {
+	for _, name := range w.clientBoxes {
 		n := w.boxes[name].node
 		c, admitErr := n.Entry.Admit("h", "/normal/", "desk-key")
 		if admitErr != nil {
@@ -244,7 +244,7 @@
 func (w *world) cancel(id job.ID) error {
 	w.fleet.Withdraw(id)
 	var err error
-	for _, name := range w.order {
+	for _, name := range w.clientBoxes {
 		n := w.boxes[name].node
 		c, admitErr := n.Entry.Admit("h", "/normal/", "desk-key")
 		if admitErr != nil {
