--- a/internal/link/message.go
+++ b/internal/link/message.go
@@ -23,7 +23,7 @@
 	Capacity   int            `cbor:"2,keyasint"` // Usable accelerators.
 	Free       int            `cbor:"3,keyasint"`
 	Largest    int            `cbor:"4,keyasint"` // Free accelerators of the rack that has the most.
-	Firm       int            `cbor:"9,keyasint"` // Like Largest, counting only unreserved accelerators.
+	Firm       int            `cbor:"9,keyasint"` // Free unreserved accelerators of the rack that has the most.
 	Waiting    int            `cbor:"5,keyasint"` // Accelerators that waiting jobs need in total.
 	PledgeFree map[string]int `cbor:"6,keyasint"` // Unused accelerators reserved for guarantees, by workspace.
 	Used       map[string]int `cbor:"7,keyasint"` // Accelerators in use by workspace.
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -92,7 +92,7 @@
 const (
 	Arm        Verb = "arm"
 	Go         Verb = "go"
-	Stop       Verb = "stop"       // Permanent: the attempt never runs afterwards. Unknown if the worker has no record of it.
+	Stop       Verb = "stop"       // Permanent: it never runs afterwards. Returns Unknown without a record of it.
 	Checkpoint Verb = "checkpoint" // Saves the work and pauses until Stop.
 	Throttle   Verb = "throttle"
 )
