--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -92,7 +92,7 @@
 const (
 	Arm        Verb = "arm"
 	Go         Verb = "go"
-	Stop       Verb = "stop"       // Permanent: it never runs afterwards. Returns Unknown without a record of it.
+	Stop       Verb = "stop"       // The attempt never runs afterwards. Returns Unknown for an attempt not on record.
 	Checkpoint Verb = "checkpoint" // Saves the work and pauses until Stop.
 	Throttle   Verb = "throttle"
 )
