--- a/internal/intake/admission.go
+++ b/internal/intake/admission.go
@@ -1,5 +1,5 @@
-// Package intake takes requests from callers, settles small ones at the upstreams, hands gangs to their hall, and
-// tells callers what became of them.
+// Package intake accepts requests from callers, runs small ones on the upstreams, passes gangs to a hall, and returns
+// the outcomes to the callers.
 package intake
 
 import (
@@ -8,21 +8,22 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// Admission bounds the small requests in flight in a box and divides the room among workspaces when it gets short.
-// Fill in Most before use.
+// Admission limits the number of small requests in flight in a box. From a certain load on, it also limits each
+// workspace to its share. Set Most before use.
 type Admission struct {
-	Most int
+	Most int // Largest number of requests in flight.
 
 	mu    sync.Mutex
 	total int
 	used  map[string]int
 }
 
-// crowded is the share of the room from which workspaces are held to their shares.
-const crowded = 0.5
+// shareThreshold is the fraction of Most in flight from which each workspace is limited to its share.
+const shareThreshold = 0.5
 
-// Enter takes a place for a request of a workspace and reports whether there was one for it.
-func (a *Admission) Enter(site *contract.Site, workspace string) bool {
+// Acquire admits a request of a workspace and reports whether it did. Each admitted request must call Release when it
+// ends.
+func (a *Admission) Acquire(site *contract.Site, workspace string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.used == nil {
@@ -31,7 +32,7 @@
 	if a.total >= a.Most {
 		return false
 	}
-	if float64(a.total) >= crowded*float64(a.Most) && a.used[workspace] >= a.share(site, workspace) {
+	if float64(a.total) >= shareThreshold*float64(a.Most) && a.used[workspace] >= a.share(site, workspace) {
 		return false
 	}
 	a.total++
@@ -39,7 +40,8 @@
 	return true
 }
 
-// share returns the places of a workspace among those that have requests in flight.
+// share returns how many requests a workspace may have in flight, given the shares of the workspaces that have some
+// now.
 func (a *Admission) share(site *contract.Site, workspace string) int {
 	own, sum := 0.0, 0.0
 	for _, w := range site.Workspaces {
@@ -56,8 +58,8 @@
 	return max(1, int(own/sum*float64(a.Most)))
 }
 
-// Leave gives a place back.
-func (a *Admission) Leave(workspace string) {
+// Release ends an admitted request of a workspace.
+func (a *Admission) Release(workspace string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.total--
@@ -67,7 +69,7 @@
 	}
 }
 
-// InFlight returns the requests in flight.
+// InFlight returns the number of requests in flight.
 func (a *Admission) InFlight() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -19,19 +19,19 @@
 	"go.uber.org/zap"
 )
 
-// Times that are no settings.
+// Limits that are not configurable.
 const (
-	acceptWithin = 10 * time.Second // Longest wait for the table before a caller is told.
-	refuseWithin = time.Second      // The same where the caller asked not to wait for an outage.
-	retryAfter   = 2                // Seconds after which a refused caller may come back.
-	pollInterval = 2 * time.Second  // Between looks at the rows of requests that are waited for.
-	pollRows     = 200
+	acceptTimeout = 10 * time.Second // Timeout of the commit that accepts a request.
+	refuseTimeout = time.Second      // For callers that do not wait during an outage; also for reads and refusals.
+	retryAfter    = 2                // Seconds after which a refused caller may try again.
+	pollInterval  = 2 * time.Second  // Interval between reads of the rows of requests that callers wait for.
+	pollRows      = 200              // Rows that one call to the table reads.
 )
 
-// ErrAbsent says that no request of that id is known to its caller.
+// ErrAbsent is returned if the caller has no request with the given ID.
 var ErrAbsent = errors.New("intake: no such request")
 
-// Intake takes requests in one box. Fill in the exported fields before use.
+// Intake accepts the requests of one box. Set the exported fields before use.
 type Intake struct {
 	Box       string
 	Settings  *settings.Box
@@ -44,35 +44,35 @@
 	Config    *config.Keeper
 	Recorder  *timeline.Recorder
 	Log       *zap.Logger
-	Loads     func() []link.Load    // Of all halls.
-	News      func(prefix string)   // Tells boxes that rows changed.
-	Alive     func(box string) bool // Whether a box is believed alive.
-	Sweeps    func() bool           // Whether this box looks after requests that others left open.
-	Slept     func() time.Duration  // How long the machine has been suspended in all; nil where nothing tells.
+	Loads     func() []link.Load    // Returns the last known load of each hall.
+	News      func(prefix string)   // Notifies the boxes that rows with the prefix changed.
+	Alive     func(box string) bool // Reports whether a box is considered alive.
+	Sweeps    func() bool           // Reports whether this box settles requests that other boxes left pending.
+	Slept     func() time.Duration  // Returns the total time that the machine was suspended; nil if unknown.
 	Metrics   Metrics
 
 	waiters waiters
 	mu      sync.Mutex
 	running map[request.Identity]*flight
-	notes   chan settlement.Record
+	records chan settlement.Record
 	once    sync.Once
-	open    openBook
-	placed  placedBook
-	recent  recentBook
+	pending pendingRows
+	placed  recentPlacements
+	recent  recentRequests
 	layout  layoutCache
 }
 
-// Metrics is told what happens; nil functions are not called.
+// Metrics holds the functions that count events; nil functions are not called.
 type Metrics struct {
-	Settled func(o request.Outcome, took time.Duration)
-	Retried func()
-	Dropped func() // An answer that belongs to another request or came too late.
+	Settled func(o request.Outcome, took time.Duration) // Called for each reply to a submission.
+	Retried func()                                      // Called for each retry of a repeatable request.
+	Dropped func()                                      // Called for each answer of another request or attempt.
 }
 
-// Order is one submission with who sent it and how often.
+// Order is one submission of a request, with the identity of the request and the number of the submission.
 type Order struct {
 	request.Identity
-	Round      int // 1 for the first submission of the id; callers count up after an answer that they did not get.
+	Round      int // Number of the submission, from 1; a caller that got no answer submits again with the next one.
 	Received   time.Time
 	Submission request.Submission
 }
@@ -80,29 +80,29 @@
 func (in *Intake) init() {
 	in.once.Do(func() {
 		in.running = map[request.Identity]*flight{}
-		in.notes = make(chan settlement.Record, max(1, in.Settings.Limits.UnrecordedSettled))
+		in.records = make(chan settlement.Record, max(1, in.Settings.Limits.UnrecordedSettled))
 	})
 }
 
-// Run does the work in the background until ctx ends.
+// Run runs the background loops until ctx ends.
 func (in *Intake) Run(ctx context.Context) {
 	in.init()
 	var group sync.WaitGroup
-	group.Go(func() { in.noteLoop(ctx) })
+	group.Go(func() { in.recordLoop(ctx) })
 	group.Go(func() { interval.Every(ctx, pollInterval, in.poll) })
 	group.Go(func() { interval.Every(ctx, sweepInterval, in.sweep) })
 	group.Wait()
 }
 
-// Submit takes one request and returns what its caller may be told by the time ctx ends.
-func (in *Intake) Submit(ctx context.Context, o Order) request.Reply {
+// Submit processes a request and returns its outcome, or what is known of it when ctx ends.
+func (in *Intake) Submit(ctx context.Context, req Order) request.Reply {
 	in.init()
 	began := time.Now()
-	reply := in.submit(ctx, o)
-	reply.ID = o.ID
+	reply := in.submit(ctx, req)
+	reply.ID = req.ID
 	in.recent.add(Recent{
-		Identity: o.Identity, Workspace: o.Submission.Workspace, Kind: o.Submission.Kind, Outcome: reply.Outcome,
-		Received: o.Received, Took: time.Since(began),
+		Identity: req.Identity, Workspace: req.Submission.Workspace, Kind: req.Submission.Kind, Outcome: reply.Outcome,
+		Received: req.Received, Took: time.Since(began),
 	})
 	if in.Metrics.Settled != nil {
 		in.Metrics.Settled(reply.Outcome, time.Since(began))
@@ -110,33 +110,34 @@
 	return reply
 }
 
-func (in *Intake) submit(ctx context.Context, o Order) request.Reply {
-	if o.Round > 1 {
-		if reply, known := in.earlier(ctx, o); known {
+func (in *Intake) submit(ctx context.Context, req Order) request.Reply {
+	if req.Round > 1 {
+		if reply, known := in.earlierReply(ctx, req); known {
 			return reply
 		}
 	}
-	if o.Submission.Gang > 0 {
-		return in.submitGang(ctx, o)
+	if req.Submission.Gang > 0 {
+		return in.submitGang(ctx, req)
 	}
-	return in.submitSmall(ctx, o)
+	return in.submitSmall(ctx, req)
 }
 
-// earlier looks for the outcome of earlier submissions of the same id.
-func (in *Intake) earlier(ctx context.Context, o Order) (request.Reply, bool) {
-	record, _, err := in.read(ctx, o.Identity)
+// earlierReply returns the reply to an earlier submission of the same request. It returns false if there was none, or
+// if it was not run and may be replaced.
+func (in *Intake) earlierReply(ctx context.Context, req Order) (request.Reply, bool) {
+	record, _, err := in.read(ctx, req.Identity)
 	switch {
 	case errors.Is(err, ErrAbsent):
 		return request.Reply{}, false
 	case err != nil:
 		return unresolved("the table can't be asked what became of earlier submissions"), true
-	case record.Replaces(o.Round):
+	case record.Replaces(req.Round):
 		return request.Reply{}, false
 	}
 	return in.reply(ctx, record), true
 }
 
-// Ask returns what is known of a request of a caller.
+// Ask returns what is known of a request, or ErrAbsent.
 func (in *Intake) Ask(ctx context.Context, id request.Identity) (request.Reply, error) {
 	in.init()
 	if in.inFlight(id) {
@@ -154,7 +155,7 @@
 	return in.reply(ctx, record), nil
 }
 
-// Await returns the outcome of a request, or what is known of it when ctx ends.
+// Await returns the outcome of a request, or what is known of it when ctx ends, or ErrAbsent.
 func (in *Intake) Await(ctx context.Context, id request.Identity) (request.Reply, error) {
 	in.init()
 	c, stop := in.waiters.add(id, 0)
@@ -168,11 +169,11 @@
 
 // read returns the row of a request with its version, or ErrAbsent.
 func (in *Intake) read(ctx context.Context, id request.Identity) (*settlement.Record, int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, refuseWithin)
+	ctx, cancel := context.WithTimeout(ctx, refuseTimeout)
 	defer cancel()
 	rows, err := in.Table.Read(ctx, []string{settlement.RequestKey(id)})
 	if err != nil {
-		return nil, 0, errors.Wrap(err, "intake: unable to read")
+		return nil, 0, errors.Wrap(err, "intake: unable to read the request row")
 	}
 	if rows[0].Version == 0 {
 		return nil, 0, ErrAbsent
@@ -184,7 +185,7 @@
 	return &record, rows[0].Version, nil
 }
 
-// reply returns what a caller is told from a row, its answer fetched where it lies in the object store.
+// reply returns the reply to the caller from a request row. It fetches the answer if that is in the object store.
 func (in *Intake) reply(ctx context.Context, r *settlement.Record) request.Reply {
 	reply := r.Reply()
 	if r.AnswerObject == "" {
@@ -208,27 +209,28 @@
 	return request.Reply{Outcome: request.NotRun, Reason: reason, RetryAfterSeconds: retryAfter}
 }
 
-// refuse tells a caller that a submission was not run. For a first submission it is enough that nothing was sent; a
-// later one may cross an earlier one that another box still holds, so a row must first forbid that one to run. No row
-// forbids a repeatable small request to run, and none tells whether an earlier submission of it has run.
-func (in *Intake) refuse(ctx context.Context, o Order, reason string) request.Reply {
-	if o.Round <= 1 {
+// refuse returns the reply to a submission that is not run. The first submission is not run if nothing was sent. For
+// a later one, another box may still hold an earlier submission, so a not_run row is committed first to stop that
+// one. A repeatable small request has no row that could stop it or show that it ran, so its later submissions are
+// unresolved.
+func (in *Intake) refuse(ctx context.Context, req Order, reason string) request.Reply {
+	if req.Round <= 1 {
 		return notRun(reason)
 	}
-	if o.Submission.Gang == 0 && !o.Submission.AtMostOnce {
+	if req.Submission.Gang == 0 && !req.Submission.AtMostOnce {
 		return unresolved(reason + "; an earlier submission may have run")
 	}
-	ctx, cancel := context.WithTimeout(ctx, refuseWithin)
+	ctx, cancel := context.WithTimeout(ctx, refuseTimeout)
 	defer cancel()
 	record := settlement.Record{
-		Identity: o.Identity, Submission: withoutPayload(o.Submission), Round: o.Round, Received: o.Received,
+		Identity: req.Identity, Submission: withoutPayload(req.Submission), Round: req.Round, Received: req.Received,
 		Outcome: request.NotRun, Reason: reason,
 	}
-	version, reply, blocked := in.place(ctx, o)
+	version, reply, blocked := in.replaceableVersion(ctx, req)
 	if blocked {
 		return reply
 	}
-	key := settlement.RequestKey(o.Identity)
+	key := settlement.RequestKey(req.Identity)
 	_, err := in.Committer.Do(ctx, table.Op{
 		Priority: table.Settle,
 		Checks:   []table.Check{{Key: key, Version: version}},
@@ -237,34 +239,35 @@
 	if err == nil {
 		return notRun(reason)
 	}
-	return in.afterConflict(ctx, o, err)
+	return in.replyAfterFailedCommit(ctx, req, err)
 }
 
-// place returns the version that a new row of the request must replace: 0, or that of a not_run row of an earlier
-// round. Blocked is set where another row stands there; the reply then says what to tell.
-func (in *Intake) place(ctx context.Context, o Order) (version int64, reply request.Reply, blocked bool) {
-	if o.Round <= 1 {
+// replaceableVersion returns the version of the row that a new request row replaces: 0, or that of a not_run row of
+// an earlier round. If the row may not be replaced or can't be read, blocked is true and reply is the reply to the
+// caller.
+func (in *Intake) replaceableVersion(ctx context.Context, req Order) (version int64, reply request.Reply, blocked bool) {
+	if req.Round <= 1 {
 		return 0, request.Reply{}, false
 	}
-	record, version, err := in.read(ctx, o.Identity)
+	record, version, err := in.read(ctx, req.Identity)
 	switch {
 	case errors.Is(err, ErrAbsent):
 		return 0, request.Reply{}, false
 	case err != nil:
 		return 0, unresolved("the table can't be asked what became of earlier submissions"), true
-	case record.Replaces(o.Round):
+	case record.Replaces(req.Round):
 		return version, request.Reply{}, false
 	}
 	return 0, in.reply(ctx, record), true
 }
 
-// afterConflict turns the error of a commit into what the caller is told.
-func (in *Intake) afterConflict(ctx context.Context, o Order, err error) request.Reply {
+// replyAfterFailedCommit returns the reply to the caller after a commit failed: after a conflict, the one in the row.
+func (in *Intake) replyAfterFailedCommit(ctx context.Context, req Order, err error) request.Reply {
 	var conflict *table.Conflict
 	if !errors.As(err, &conflict) {
 		return unresolved("the table did not say whether the request was taken")
 	}
-	record, _, err := in.read(context.WithoutCancel(ctx), o.Identity)
+	record, _, err := in.read(context.WithoutCancel(ctx), req.Identity)
 	if err != nil {
 		return unresolved("the request is known already, and the table can't be asked for its outcome")
 	}
@@ -276,13 +279,13 @@
 	return s
 }
 
-// Deliver hands an outcome that another box settled to the callers that wait for it here.
+// Deliver passes an outcome that another box settled to the callers that wait for it in this box.
 func (in *Intake) Deliver(s *link.Settled) {
 	s.Reply.ID = s.Identity.ID
 	in.waiters.deliver(s.Identity, s.Round, s.Reply)
 }
 
-// poll looks at the rows of requests that are waited for, in case the word of their settlement was lost.
+// poll reads the rows of the requests that callers wait for, in case the message with the outcome was lost.
 func (in *Intake) poll(ctx context.Context) {
 	ids := in.waiters.ids()
 	for len(ids) > 0 {
@@ -305,7 +308,7 @@
 	}
 }
 
-// note adds an event to the time line.
-func (in *Intake) note(id request.Identity, attempt, text string) {
+// addEvent adds an event of a request to the timeline.
+func (in *Intake) addEvent(id request.Identity, attempt, text string) {
 	in.Recorder.Add(timeline.Event{Part: "intake", Hall: in.Settings.Hall, Job: id.String(), Attempt: attempt, Text: text})
 }
--- a/internal/intake/once.go
+++ b/internal/intake/once.go
@@ -16,78 +16,81 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// Times of at-most-once requests that are no settings.
+// Times of at-most-once requests that are not configurable.
 const (
-	fenceTimeout  = time.Second
-	fenceInterval = 200 * time.Millisecond
-	settleWithin  = 10 * time.Second
-	sweepInterval = time.Second
-	clockMargin   = 5 * time.Second // By which the clocks of two boxes differ at the most.
-	sweepMargin   = 5 * time.Second // Added to the time that the sending box has for a request.
+	fenceTimeout  = time.Second            // Timeout of one Fence call to an upstream.
+	fenceInterval = 200 * time.Millisecond // Between two Fence calls for the same attempt.
+	settleTimeout = 10 * time.Second       // Timeout of committing an outcome.
+	sweepInterval = time.Second            // Between two sweeps of the pending requests.
+	clockMargin   = 5 * time.Second        // Largest difference between the clocks of two boxes.
+	sweepMargin   = 5 * time.Second        // Added to the upstream timeout before other boxes may settle a request.
 )
 
-// sent is an at-most-once request whose row says where it is sent.
-type sent struct {
-	record      settlement.Record
-	version     int64 // Of its request row.
-	openVersion int64 // Of its open row.
-	// slept is how long the machine had been suspended in all by the instant in its row, or, where that is read from the row, by then: the time of day goes on.
-	slept time.Duration
+// sentRequest is an at-most-once request whose row records where it is sent.
+type sentRequest struct {
+	record         settlement.Record
+	version        int64 // Version of its request row.
+	pendingVersion int64 // Version of its pending request row.
+	// suspendedBefore is the total time for which the machine had been suspended when the request was recorded. If
+	// the row was read from the table, it is the total at the time of the read: the wall clock includes any
+	// suspension before.
+	suspendedBefore time.Duration
 }
 
 // settleOnce records where a request will be sent, sends it once, and settles it.
-func (in *Intake) settleOnce(ctx context.Context, o Order) request.Reply {
+func (in *Intake) settleOnce(ctx context.Context, req Order) request.Reply {
 	u, ok := in.pick(ctx, "")
 	if !ok {
-		return in.refuse(ctx, o, "no upstream has room")
+		return in.refuse(ctx, req, "no upstream has room")
 	}
-	version, reply, blocked := in.place(ctx, o)
+	version, reply, blocked := in.replaceableVersion(ctx, req)
 	if blocked {
 		in.Router.Done(u.Name, true)
 		return reply
 	}
-	record := in.finalRecord(o, request.Accepted, 1)
-	record.Sending = &settlement.Sending{Box: in.Box, Upstream: u.Name, Attempt: attemptName(o)}
-	s, err := in.recordSending(ctx, o, record, version)
+	record := in.finalRecord(req, request.Accepted, 1)
+	record.Sending = &settlement.Sending{Box: in.Box, Upstream: u.Name, Attempt: attemptName(req)}
+	s, err := in.recordSending(ctx, req, record, version)
 	if err != nil {
 		in.Router.Done(u.Name, true)
 		switch {
 		case errors.Is(err, table.ErrQueueFull):
-			return in.refuse(ctx, o, "too much waits for the table")
+			return in.refuse(ctx, req, "too much waits for the table")
 		case errors.Is(err, table.ErrUnavailable):
-			return in.refuse(ctx, o, "the table is out")
+			return in.refuse(ctx, req, "the table is out")
 		}
-		return in.afterConflict(ctx, o, err)
+		return in.replyAfterFailedCommit(ctx, req, err)
 	}
-	return in.sendOnce(ctx, o, s, u)
+	return in.sendOnce(ctx, req, s, u)
 }
 
-// sendOnce sends a recorded request. An upstream that surely did not run it makes another one possible, recorded anew.
-func (in *Intake) sendOnce(ctx context.Context, o Order, s *sent, u contract.Upstream) request.Reply {
+// sendOnce sends a recorded request. If the upstream certainly did not run it, another upstream is recorded and
+// tried, up to maxTries in all.
+func (in *Intake) sendOnce(ctx context.Context, req Order, s *sentRequest, u contract.Upstream) request.Reply {
 	for try := 1; ; try++ {
-		in.note(o.Identity, s.record.Sending.Attempt, "sent once to "+u.Name)
-		answer, err := in.send(ctx, u, o, s.record.Sending.Attempt)
-		if !errors.Is(err, upstream.ErrNotRun) || try == mostTries {
-			return in.settleSent(ctx, s, answer, err)
+		in.addEvent(req.Identity, s.record.Sending.Attempt, "sent once to "+u.Name)
+		answer, err := in.send(ctx, u, req, s.record.Sending.Attempt)
+		if !errors.Is(err, upstream.ErrNotRun) || try == maxTries {
+			return in.settleResult(ctx, s, answer, err)
 		}
 		next, ok := in.pick(ctx, u.Name)
 		if !ok {
-			return in.settleSent(ctx, s, answer, err)
+			return in.settleResult(ctx, s, answer, err)
 		}
-		if err := in.redirect(ctx, o, s, next); err != nil {
+		if err := in.redirect(ctx, req, s, next); err != nil {
 			in.Router.Done(next.Name, true)
-			return in.afterConflict(ctx, o, err)
+			return in.replyAfterFailedCommit(ctx, req, err)
 		}
 		u = next
 	}
 }
 
-// redirect records another upstream for a request that surely did not run.
-func (in *Intake) redirect(ctx context.Context, o Order, s *sent, u contract.Upstream) error {
+// redirect records another upstream for a request that certainly did not run.
+func (in *Intake) redirect(ctx context.Context, req Order, s *sentRequest, u contract.Upstream) error {
 	record := s.record
 	record.Attempt++
-	record.Sending = &settlement.Sending{Box: in.Box, Upstream: u.Name, Attempt: attemptName(o)}
-	key := settlement.RequestKey(o.Identity)
+	record.Sending = &settlement.Sending{Box: in.Box, Upstream: u.Name, Attempt: attemptName(req)}
+	key := settlement.RequestKey(req.Identity)
 	revision, err := in.Committer.Do(ctx, table.Op{
 		Priority: table.Start,
 		Checks:   []table.Check{{Key: key, Version: s.version}},
@@ -100,27 +103,27 @@
 	return nil
 }
 
-// recordSending commits the row that must stand before an at-most-once request is sent.
-func (in *Intake) recordSending(ctx context.Context, o Order, record settlement.Record, version int64) (*sent, error) {
-	slept := in.slept() // It is not sent before.
-	requestKey, openKey := settlement.RequestKey(o.Identity), settlement.OpenKey(o.Identity)
-	open := settlement.Open{Identity: o.Identity, Box: in.Box, Expires: time.Now().Add(in.Settings.Limits.UpstreamTimeout + sweepMargin)}
-	limit := acceptWithin
-	if o.Submission.OnOutage == "refuse" {
-		limit = refuseWithin
+// recordSending commits the rows that must exist before an at-most-once request is sent.
+func (in *Intake) recordSending(ctx context.Context, req Order, record settlement.Record, version int64) (*sentRequest, error) {
+	suspendedBefore := in.suspendedTime() // Taken before the request is sent, so that its age is never underestimated.
+	requestKey, pendingKey := settlement.RequestKey(req.Identity), settlement.PendingRequestKey(req.Identity)
+	pending := settlement.PendingRequest{Identity: req.Identity, Box: in.Box, Expires: time.Now().Add(in.Settings.Limits.UpstreamTimeout + sweepMargin)}
+	limit := acceptTimeout
+	if req.Submission.OnOutage == "refuse" {
+		limit = refuseTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	revision, err := in.Committer.Do(ctx, table.Op{
 		Priority: table.Accept,
-		Checks:   []table.Check{{Key: requestKey, Version: version}, {Key: openKey}},
-		Writes:   []table.Write{table.Put(requestKey, record), table.Put(openKey, open)},
+		Checks:   []table.Check{{Key: requestKey, Version: version}, {Key: pendingKey}},
+		Writes:   []table.Write{table.Put(requestKey, record), table.Put(pendingKey, pending)},
 	})
-	return &sent{record: record, version: revision, openVersion: revision, slept: slept}, err
+	return &sentRequest{record: record, version: revision, pendingVersion: revision, suspendedBefore: suspendedBefore}, err
 }
 
-// settleSent turns what came back from the only sending into an outcome.
-func (in *Intake) settleSent(ctx context.Context, s *sent, answer upstream.Answer, err error) request.Reply {
+// settleResult settles a request with the result of sending it. If the result is unclear, it asks the upstream.
+func (in *Intake) settleResult(ctx context.Context, s *sentRequest, answer upstream.Answer, err error) request.Reply {
 	switch {
 	case err == nil:
 		return in.settleRow(ctx, s, request.Done, answer.Body, "")
@@ -129,13 +132,14 @@
 	case errors.Is(err, upstream.ErrNotRun):
 		return in.settleRow(ctx, s, request.NotRun, nil, "the upstream did not take it")
 	}
-	return in.findOut(ctx, s)
+	return in.resolve(ctx, s)
 }
 
-// findOut asks the upstream what became of an attempt and forbids it to start, until it is known or ctx ends.
-func (in *Intake) findOut(ctx context.Context, s *sent) request.Reply {
+// resolve asks the upstream for the outcome of an attempt, and forbids the attempt to start, until the outcome is
+// known or ctx ends.
+func (in *Intake) resolve(ctx context.Context, s *sentRequest) request.Reply {
 	for {
-		if reply, known := in.tryFindOut(ctx, s); known {
+		if reply, known := in.tryResolve(ctx, s); known {
 			return reply
 		}
 		if !interval.Sleep(ctx, fenceInterval) {
@@ -144,19 +148,19 @@
 	}
 }
 
-// tryFindOut asks once and settles what it learns.
-func (in *Intake) tryFindOut(ctx context.Context, s *sent) (request.Reply, bool) {
+// tryResolve asks the upstream once and settles the request if the outcome is known. It reports whether it is.
+func (in *Intake) tryResolve(ctx context.Context, s *sentRequest) (request.Reply, bool) {
 	u, ok := in.Config.Site().Upstream(s.record.Sending.Upstream)
-	if !ok { // It may come back with another configuration; until then nobody can know.
+	if !ok { // The upstream was removed from the configuration. It can be asked only if it is added again.
 		return request.Reply{}, false
 	}
 	within, cancel := context.WithTimeout(context.WithoutCancel(ctx), fenceTimeout)
 	defer cancel()
-	fate, answer, err := in.Upstreams.Fence(within, u, s.record.Sending.Attempt, in.age(s))
+	result, answer, err := in.Upstreams.Fence(within, u, s.record.Sending.Attempt, in.maxAge(s))
 	if err != nil {
 		return request.Reply{}, false
 	}
-	switch fate {
+	switch result {
 	case upstream.Ran:
 		if answer.Identity != s.record.Identity || answer.Attempt != s.record.Sending.Attempt {
 			return in.settleRow(ctx, s, request.Failed, nil, "it ran and its answer is lost"), true
@@ -170,27 +174,29 @@
 	return request.Reply{}, false
 }
 
-// age returns how long ago a request was sent at the most, as the upstream hears it; the instant in its row is by the clock of the box that took it. A question that comes later
-// than fenceTimeout is not waited for any more.
-func (in *Intake) age(s *sent) time.Duration {
-	age := time.Since(s.record.Received) + max(in.slept()-s.slept, 0) + fenceTimeout
+// maxAge returns an upper limit of the time since a request was sent, as of the moment when the Fence call reaches
+// the upstream. That call may take up to fenceTimeout. The time in the row is by the clock of the box that accepted
+// the request, so clockMargin is added in another box.
+func (in *Intake) maxAge(s *sentRequest) time.Duration {
+	age := time.Since(s.record.Received) + max(in.suspendedTime()-s.suspendedBefore, 0) + fenceTimeout
 	if s.record.Sending.Box != in.Box {
 		age += clockMargin
 	}
 	return age
 }
 
-// slept is how long the machine has been suspended in all, as far as anything tells.
-func (in *Intake) slept() time.Duration {
+// suspendedTime returns the total time for which the machine has been suspended, or 0 if that is unknown.
+func (in *Intake) suspendedTime() time.Duration {
 	if in.Slept == nil {
 		return 0
 	}
 	return in.Slept()
 }
 
-// settleRow commits the outcome of an at-most-once request; its caller is told only what the table holds.
-func (in *Intake) settleRow(ctx context.Context, s *sent, outcome request.Outcome, answer json.RawMessage, reason string) request.Reply {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleWithin)
+// settleRow commits the outcome of an at-most-once request and returns the reply to its caller. The caller gets an
+// outcome only after it is in the table.
+func (in *Intake) settleRow(ctx context.Context, s *sentRequest, outcome request.Outcome, answer json.RawMessage, reason string) request.Reply {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	record, err := s.record.Settle(outcome, answer, reason)
 	if err != nil {
@@ -203,56 +209,56 @@
 	if key != "" {
 		record.Answer, record.AnswerObject = nil, key
 	}
-	requestKey, openKey := settlement.RequestKey(record.Identity), settlement.OpenKey(record.Identity)
+	requestKey, pendingKey := settlement.RequestKey(record.Identity), settlement.PendingRequestKey(record.Identity)
 	_, err = in.Committer.Do(ctx, table.Op{
 		Priority: table.Settle,
-		Checks:   []table.Check{{Key: requestKey, Version: s.version}, {Key: openKey, Version: s.openVersion}},
-		Writes:   []table.Write{table.Put(requestKey, record), table.Drop(openKey)},
+		Checks:   []table.Check{{Key: requestKey, Version: s.version}, {Key: pendingKey, Version: s.pendingVersion}},
+		Writes:   []table.Write{table.Put(requestKey, record), table.Drop(pendingKey)},
 	})
 	if err != nil {
-		return in.afterConflict(ctx, Order{Identity: record.Identity}, err)
+		return in.replyAfterFailedCommit(ctx, Order{Identity: record.Identity}, err)
 	}
-	in.note(record.Identity, "", "settled: "+string(outcome))
+	in.addEvent(record.Identity, "", "settled: "+string(outcome))
 	reply := record.Reply()
 	reply.Answer = answer
 	in.waiters.deliver(record.Identity, record.Round, reply)
 	return reply
 }
 
-// openBook follows the rows of unfinished at-most-once requests.
-type openBook struct {
-	revision int64
+// pendingRows is a copy of the pending request rows.
+type pendingRows struct {
+	revision int64 // Revision of the table up to which the copy is complete.
 	rows     map[string]table.Row
 }
 
-// sweep finishes at-most-once requests whose box is gone or is late.
+// sweep settles pending at-most-once requests whose box is no longer alive or did not settle them in time.
 func (in *Intake) sweep(ctx context.Context) {
 	if !in.Sweeps() || in.Config.Site() == nil {
 		return
 	}
-	rows, err := in.openRows(ctx)
+	rows, err := in.pendingRows(ctx)
 	if err != nil {
 		return
 	}
 	for _, row := range rows {
-		var open settlement.Open
-		if settlement.Decode(row, &open) != nil {
+		var pending settlement.PendingRequest
+		if settlement.Decode(row, &pending) != nil {
 			continue
 		}
-		abandoned := !in.Alive(open.Box) || time.Now().After(open.Expires)
-		if abandoned && !in.inFlight(open.Identity) {
-			in.finishOpen(ctx, row, open)
+		abandoned := !in.Alive(pending.Box) || time.Now().After(pending.Expires)
+		if abandoned && !in.inFlight(pending.Identity) {
+			in.settlePending(ctx, row, pending)
 		}
 	}
 }
 
-// openRows brings the book up to date and returns its rows.
-func (in *Intake) openRows(ctx context.Context) ([]table.Row, error) {
-	b := &in.open // Only the sweep reads and writes it.
+// pendingRows updates the copy of the pending request rows and returns the rows.
+func (in *Intake) pendingRows(ctx context.Context) ([]table.Row, error) {
+	b := &in.pending // Only sweep uses it, so it needs no lock.
 	if b.rows == nil {
 		b.rows = map[string]table.Row{}
 	}
-	rows, revision, err := in.Table.Changes(ctx, settlement.OpenPrefix, b.revision, pollRows)
+	rows, revision, err := in.Table.Changes(ctx, settlement.PendingRequestPrefix, b.revision, pollRows)
 	if err != nil {
 		return nil, err
 	}
@@ -271,14 +277,14 @@
 	return list, nil
 }
 
-// finishOpen finds out what became of a request that its box left open.
-func (in *Intake) finishOpen(ctx context.Context, row table.Row, open settlement.Open) {
-	record, version, err := in.read(ctx, open.Identity)
+// settlePending tries to settle a request that its box left pending.
+func (in *Intake) settlePending(ctx context.Context, row table.Row, pending settlement.PendingRequest) {
+	record, version, err := in.read(ctx, pending.Identity)
 	if err != nil || record.Sending == nil {
 		return
 	}
-	s := &sent{record: *record, version: version, openVersion: row.Version, slept: in.slept()}
-	if reply, known := in.tryFindOut(ctx, s); known {
-		in.note(open.Identity, record.Sending.Attempt, "finished for "+strings.TrimSpace(open.Box)+": "+string(reply.Outcome))
+	s := &sentRequest{record: *record, version: version, pendingVersion: row.Version, suspendedBefore: in.suspendedTime()}
+	if reply, known := in.tryResolve(ctx, s); known {
+		in.addEvent(pending.Identity, record.Sending.Attempt, "finished for "+strings.TrimSpace(pending.Box)+": "+string(reply.Outcome))
 	}
 }
--- a/internal/intake/once_test.go
+++ b/internal/intake/once_test.go
@@ -21,7 +21,8 @@
 	"go.uber.org/zap"
 )
 
-// newIntake returns an intake on stand-ins with the site of the scripts in force; its router knows no upstreams.
+// newIntake returns an Intake on the stand-in platform p, configured with the site of the box tests. Its router knows
+// no upstreams yet.
 func newIntake(ctx context.Context, t *testing.T, p *standin.Platform) *Intake {
 	raw, err := os.ReadFile("../box/testdata/site.ini")
 	qt.Assert(t, err, qt.IsNil)
@@ -38,42 +39,42 @@
 	return in
 }
 
-// TestFindOutBeforeRouting brings about what once settled at-most-once requests as unresolved for good: a box that had
-// just adopted the configuration swept them before its router knew the upstreams.
-func TestFindOutBeforeRouting(t *testing.T) {
+// TestResolveBeforeRouting guards against settling at-most-once requests as unresolved permanently. That happened
+// when a box had just adopted the configuration and swept them before its router knew the upstreams.
+func TestResolveBeforeRouting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		in := newIntake(ctx, t, standin.NewPlatform(1, 0, 0, 0))
-		o := Order{Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now()}
-		record := in.finalRecord(o, request.Accepted, 1)
+		req := Order{Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now()}
+		record := in.finalRecord(req, request.Accepted, 1)
 		record.Sending = &settlement.Sending{Box: "gone", Upstream: "exec-0", Attempt: "clerk/s.1"}
-		sent, err := in.recordSending(ctx, o, record, 0)
+		sent, err := in.recordSending(ctx, req, record, 0)
 		qt.Assert(t, err, qt.IsNil)
-		reply, known := in.tryFindOut(ctx, sent)
+		reply, known := in.tryResolve(ctx, sent)
 		qt.Assert(t, known, qt.IsTrue)
 		qt.Assert(t, reply.Outcome, qt.Equals, request.NotRun)
 		cancel()
 	})
 }
 
-// slowFence is executors that a fence reaches late.
+// slowFence delays Fence calls on their way to the executors.
 type slowFence struct {
 	upstream.Service
-	by time.Duration
+	delay time.Duration
 }
 
 func (s slowFence) Fence(ctx context.Context, u contract.Upstream, attempt string, age time.Duration) (upstream.Fate, upstream.Answer, error) {
-	time.Sleep(s.by)
+	time.Sleep(s.delay)
 	return s.Service.Fence(ctx, u, attempt, age)
 }
 
-// TestAgeOfACall: a call ran, and its answer was lost; then the executor was replaced behind its address and knew nothing of it. It tells so where the call is older than what it knows. Asked how old
-// the call was as the question was sent, and reached by it late, it took itself for older, and the call for one that had never come; so it did where the box's machine had been suspended
-// since, which its clock did not count. The caller was told that its work had not run, and sent it again.
-func TestAgeOfACall(t *testing.T) {
+// TestAgeOfCall guards against reporting a call that ran as not run, after which its caller sent it again. The answer
+// was lost, and the executor was replaced by one without records, which says so only if the call is older than its own
+// records. The age that Fence gave was too small if it arrived late or the machine of the box had been suspended.
+func TestAgeOfCall(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
-		replacedAfter, asked time.Duration // Since the call.
+		replacedAfter, asked time.Duration // Time since the call.
 		late, suspended      time.Duration
 		want                 request.Outcome
 	}{
@@ -89,21 +90,21 @@
 			slept := time.Duration(0)
 			in.Slept = func() time.Duration { return slept }
 			in.Upstreams = slowFence{p.Executors, c.late}
-			o := Order{Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now()}
-			record := in.finalRecord(o, request.Accepted, 1)
+			req := Order{Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now()}
+			record := in.finalRecord(req, request.Accepted, 1)
 			record.Sending = &settlement.Sending{Box: in.Box, Upstream: "exec-0", Attempt: "clerk/s.1"}
-			sent, err := in.recordSending(ctx, o, record, 0)
+			sent, err := in.recordSending(ctx, req, record, 0)
 			qt.Assert(t, err, qt.IsNil)
 			if c.replacedAfter > 0 {
-				_, err := p.Executors.Run(ctx, contract.Upstream{Name: "exec-0"}, upstream.Call{Attempt: "clerk/s.1", Identity: o.Identity})
+				_, err := p.Executors.Run(ctx, contract.Upstream{Name: "exec-0"}, upstream.Call{Attempt: "clerk/s.1", Identity: req.Identity})
 				qt.Assert(t, err, qt.IsNil)
 				time.Sleep(c.replacedAfter)
 				p.Executors.Blank("exec-0")
 			}
 			time.Sleep(c.asked - c.replacedAfter + c.suspended)
-			sent.record.Received = sent.record.Received.Add(c.suspended) // As old as the clock of a machine shows that was suspended.
+			sent.record.Received = sent.record.Received.Add(c.suspended) // The clock does not count the suspension.
 			slept = c.suspended
-			reply, known := in.tryFindOut(ctx, sent)
+			reply, known := in.tryResolve(ctx, sent)
 			qt.Check(t, known, qt.IsTrue)
 			qt.Check(t, reply.Outcome, qt.Equals, c.want, qt.Commentf(c.name))
 			cancel()
--- a/internal/intake/resubmit_test.go
+++ b/internal/intake/resubmit_test.go
@@ -15,8 +15,8 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// TestRefusedAfterLostAnswer brings about what callers were told wrongly: a repeatable request ran, its answer was lost,
-// and the next submission of it met upstreams that refuse. It can't be called not run.
+// TestRefusedAfterLostAnswer guards against reporting a request as not run that ran. A repeatable request ran and its
+// answer was lost; all upstreams refused its next submission.
 func TestRefusedAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -24,23 +24,23 @@
 		p := standin.NewPlatform(1, 0, 0, 0)
 		in := newIntake(ctx, t, p)
 		in.Router.Update(in.Config.Site().Upstreams, func(string) bool { return false }, 1)
-		o := Order{
+		req := Order{
 			Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now(),
 			Submission: request.Submission{Kind: "test", Workspace: "court", Payload: json.RawMessage(`{"work_ms":1}`)},
 		}
 		p.Faults.Set(standin.Faults{BreakUpstreams: names(in.Config.Site().Upstreams)})
-		qt.Assert(t, in.Submit(ctx, o).Outcome, qt.Equals, request.Unresolved)
+		qt.Assert(t, in.Submit(ctx, req).Outcome, qt.Equals, request.Unresolved)
 		qt.Assert(t, len(p.Executors.Runs()) > 0, qt.IsTrue)
 
 		p.Faults.Set(standin.Faults{FailUpstreams: names(in.Config.Site().Upstreams)})
-		o.Round = 2
-		reply := in.Submit(ctx, o)
+		req.Round = 2
+		reply := in.Submit(ctx, req)
 		qt.Assert(t, reply.Outcome, qt.Equals, request.Unresolved)
 		qt.Assert(t, reply.RetryAfterSeconds > 0, qt.IsTrue)
-		_, err := in.Ask(ctx, o.Identity)
-		qt.Assert(t, err, qt.Equals, ErrAbsent) // Nothing was written that says it did not run.
+		_, err := in.Ask(ctx, req.Identity)
+		qt.Assert(t, err, qt.Equals, ErrAbsent) // No row was written that reports it as not run.
 
-		first := o
+		first := req
 		first.ID, first.Round = "never sent", 1
 		qt.Assert(t, in.Submit(ctx, first).Outcome, qt.Equals, request.NotRun)
 	})
@@ -54,7 +54,7 @@
 	return all
 }
 
-// slowTable takes a while for each commit.
+// slowTable delays each commit.
 type slowTable struct {
 	table.Service
 	delay time.Duration
@@ -65,33 +65,34 @@
 	return s.Service.Commit(ctx, txn)
 }
 
-// TestOldOutcomeOfResubmitted brings about what callers were told wrongly: a gang was cancelled before its caller had any
-// answer and is submitted anew; while the new row is committed, the old row's outcome must not be taken for its own.
+// TestOldOutcomeOfResubmitted guards against replying with the outcome of an earlier submission. A gang was cancelled
+// before its caller had an answer and is submitted again. While its new row is being committed, poll reads the old
+// row.
 func TestOldOutcomeOfResubmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		p := standin.NewPlatform(1, 0, 0, 0)
 		in := newIntake(ctx, t, p)
-		o := Order{
+		req := Order{
 			Identity: request.Identity{Caller: "clerk", ID: "g"}, Round: 2, Received: time.Now(),
 			Submission: request.Submission{Kind: "test", Workspace: "court", Gang: 1, Shape: contract.Shape{CPUs: 1, Accelerators: 1}},
 		}
-		old := in.finalRecord(o, request.NotRun, 0)
+		old := in.finalRecord(req, request.NotRun, 0)
 		old.Round = 1
 		_, err := in.Committer.Do(ctx, table.Op{
-			Checks: []table.Check{{Key: settlement.RequestKey(o.Identity)}},
-			Writes: []table.Write{table.Put(settlement.RequestKey(o.Identity), old)},
+			Checks: []table.Check{{Key: settlement.RequestKey(req.Identity)}},
+			Writes: []table.Write{table.Put(settlement.RequestKey(req.Identity), old)},
 		})
 		qt.Assert(t, err, qt.IsNil)
 		go in.Run(ctx)
 		in.Committer.Service = slowTable{p.Table, time.Second}
-		time.Sleep(pollInterval - 500*time.Millisecond) // The next look at the rows falls into the commit.
+		time.Sleep(pollInterval - 500*time.Millisecond) // The next poll happens during the commit.
 
 		within, done := context.WithTimeout(ctx, 2*pollInterval)
 		defer done()
-		qt.Assert(t, in.Submit(within, o).Outcome, qt.Equals, request.Accepted)
-		reply, err := in.Ask(ctx, o.Identity)
+		qt.Assert(t, in.Submit(within, req).Outcome, qt.Equals, request.Accepted)
+		reply, err := in.Ask(ctx, req.Identity)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, reply.Outcome, qt.Equals, request.Accepted)
 	})
--- a/internal/intake/small.go
+++ b/internal/intake/small.go
@@ -16,15 +16,15 @@
 	"github.com/rs/xid"
 )
 
-// Limits of small requests that are no settings.
+// Limits of small requests that are not configurable.
 const (
-	mostTries     = 4
-	firstBackoff  = 5 * time.Millisecond
-	placeWithin   = 250 * time.Millisecond // Longest wait for a place at an upstream.
-	placeInterval = 5 * time.Millisecond
+	maxTries     = 4                      // Upstream calls for one request, the first included.
+	firstBackoff = 5 * time.Millisecond   // Doubled for each further retry.
+	pickTimeout  = 250 * time.Millisecond // Longest wait for an upstream with free capacity.
+	pickInterval = 5 * time.Millisecond   // Between two checks for free capacity.
 )
 
-// flight is a small request under way in this box.
+// flight is a small request in flight in this box.
 type flight struct {
 	done  chan struct{}
 	reply request.Reply
@@ -36,10 +36,11 @@
 	return in.running[id] != nil
 }
 
-// submitSmall settles a small request; a second submission of the same id joins the first.
-func (in *Intake) submitSmall(ctx context.Context, o Order) request.Reply {
+// submitSmall settles a small request. A second submission of the same request waits for the first and gets its
+// reply.
+func (in *Intake) submitSmall(ctx context.Context, req Order) request.Reply {
 	in.mu.Lock()
-	f := in.running[o.Identity]
+	f := in.running[req.Identity]
 	if f != nil {
 		in.mu.Unlock()
 		select {
@@ -50,43 +51,43 @@
 		}
 	}
 	f = &flight{done: make(chan struct{})}
-	in.running[o.Identity] = f
+	in.running[req.Identity] = f
 	in.mu.Unlock()
 	defer func() {
 		in.mu.Lock()
-		delete(in.running, o.Identity)
+		delete(in.running, req.Identity)
 		in.mu.Unlock()
 		close(f.done)
 	}()
-	f.reply = in.settleSmall(ctx, o)
+	f.reply = in.settleSmall(ctx, req)
 	return f.reply
 }
 
-func (in *Intake) settleSmall(ctx context.Context, o Order) request.Reply {
-	if !in.Admission.Enter(in.Config.Site(), o.Submission.Workspace) {
-		return in.refuse(ctx, o, "too many requests of the workspace are in flight")
+func (in *Intake) settleSmall(ctx context.Context, req Order) request.Reply {
+	if !in.Admission.Acquire(in.Config.Site(), req.Submission.Workspace) {
+		return in.refuse(ctx, req, "too many requests of the workspace are in flight")
 	}
-	defer in.Admission.Leave(o.Submission.Workspace)
-	// What was begun is brought to its end even where the caller leaves.
+	defer in.Admission.Release(req.Submission.Workspace)
+	// A request that was started is completed even if its caller disconnects.
 	limit := in.Settings.Limits.UpstreamTimeout
-	if d := o.Submission.DeadlineSeconds; d > 0 {
-		limit = min(limit, time.Until(o.Submission.Deadline(o.Received)))
+	if d := req.Submission.DeadlineSeconds; d > 0 {
+		limit = min(limit, time.Until(req.Submission.Deadline(req.Received)))
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	defer cancel()
-	if o.Submission.AtMostOnce {
-		return in.settleOnce(ctx, o)
+	if req.Submission.AtMostOnce {
+		return in.settleOnce(ctx, req)
 	}
-	return in.settleRepeatable(ctx, o)
+	return in.settleRepeatable(ctx, req)
 }
 
-// settleRepeatable sends a request until it is answered, within the budget of retries.
-func (in *Intake) settleRepeatable(ctx context.Context, o Order) request.Reply {
+// settleRepeatable sends a request until it is answered or the retries are used up.
+func (in *Intake) settleRepeatable(ctx context.Context, req Order) request.Reply {
 	in.Router.First()
-	sent := false // Whether any try may have run.
+	sent := false // Whether any attempt may have run.
 	last := ""
 	backoff := firstBackoff
-	for try := range mostTries {
+	for try := range maxTries {
 		if try > 0 {
 			if !in.mayRetry(ctx, backoff) {
 				break
@@ -96,23 +97,23 @@
 		u, ok := in.pick(ctx, last)
 		if !ok {
 			if !sent {
-				return in.refuse(ctx, o, "no upstream has room")
+				return in.refuse(ctx, req, "no upstream has room")
 			}
 			break
 		}
 		last = u.Name
-		answer, err := in.send(ctx, u, o, attemptName(o))
+		answer, err := in.send(ctx, u, req, attemptName(req))
 		switch {
 		case err == nil:
-			return in.done(o, answer, try+1)
+			return in.done(req, answer, try+1)
 		case errors.Is(err, upstream.ErrFailed):
-			return in.failed(o, try+1)
+			return in.failed(req, try+1)
 		case !errors.Is(err, upstream.ErrNotRun):
 			sent = true
 		}
 	}
 	if !sent {
-		return in.refuse(ctx, o, "no upstream took it")
+		return in.refuse(ctx, req, "no upstream took it")
 	}
 	return unresolved("no upstream answered in time")
 }
@@ -127,24 +128,25 @@
 	return interval.Sleep(ctx, backoff/2+rand.N(backoff))
 }
 
-// pick waits a little for a place at an upstream.
+// pick returns an upstream with free capacity, other than the one named not, and reserves a place there. It waits up to
+// pickTimeout and returns false if there is none.
 func (in *Intake) pick(ctx context.Context, not string) (contract.Upstream, bool) {
-	end := time.Now().Add(placeWithin)
+	end := time.Now().Add(pickTimeout)
 	for {
 		if u, ok := in.Router.Pick(not); ok {
 			return u, true
 		}
-		if time.Now().After(end) || !interval.Sleep(ctx, placeInterval) {
+		if time.Now().After(end) || !interval.Sleep(ctx, pickInterval) {
 			return contract.Upstream{}, false
 		}
 	}
 }
 
-func attemptName(o Order) string { return fmt.Sprintf("%s.%s", o.Identity, xid.New()) }
+func attemptName(req Order) string { return fmt.Sprintf("%s.%s", req.Identity, xid.New()) }
 
-// send makes one call at a place that was picked and checks that the answer belongs to it.
-func (in *Intake) send(ctx context.Context, u contract.Upstream, o Order, attempt string) (upstream.Answer, error) {
-	call := upstream.Call{Attempt: attempt, Identity: o.Identity, Kind: o.Submission.Kind, Payload: o.Submission.Payload}
+// send makes one call to an upstream that pick returned and checks that the answer belongs to the call.
+func (in *Intake) send(ctx context.Context, u contract.Upstream, req Order, attempt string) (upstream.Answer, error) {
+	call := upstream.Call{Attempt: attempt, Identity: req.Identity, Kind: req.Submission.Kind, Payload: req.Submission.Payload}
 	answer, err := in.Upstreams.Run(ctx, u, call)
 	in.Router.Done(u.Name, err == nil || errors.Is(err, upstream.ErrFailed))
 	if err == nil && !in.belongs(answer, call) {
@@ -153,7 +155,7 @@
 	return answer, err
 }
 
-// belongs reports whether an answer is that of a call; others are dropped and counted.
+// belongs reports whether an answer belongs to a call. It counts an answer that does not as dropped.
 func (in *Intake) belongs(a upstream.Answer, c upstream.Call) bool {
 	if a.Attempt == c.Attempt && a.Identity == c.Identity {
 		return true
@@ -164,52 +166,52 @@
 	return false
 }
 
-func (in *Intake) done(o Order, answer upstream.Answer, tries int) request.Reply {
-	record := in.finalRecord(o, request.Done, tries)
+func (in *Intake) done(req Order, answer upstream.Answer, tries int) request.Reply {
+	record := in.finalRecord(req, request.Done, tries)
 	record.Answer = answer.Body
-	in.remember(record)
+	in.queueRecord(record)
 	return record.Reply()
 }
 
-func (in *Intake) failed(o Order, tries int) request.Reply {
-	record := in.finalRecord(o, request.Failed, tries)
+func (in *Intake) failed(req Order, tries int) request.Reply {
+	record := in.finalRecord(req, request.Failed, tries)
 	record.Reason = "the work failed at the upstream"
-	in.remember(record)
+	in.queueRecord(record)
 	return record.Reply()
 }
 
-func (in *Intake) finalRecord(o Order, outcome request.Outcome, tries int) settlement.Record {
+func (in *Intake) finalRecord(req Order, outcome request.Outcome, tries int) settlement.Record {
 	return settlement.Record{
-		Identity: o.Identity, Submission: withoutPayload(o.Submission), Round: o.Round, Received: o.Received,
+		Identity: req.Identity, Submission: withoutPayload(req.Submission), Round: req.Round, Received: req.Received,
 		Outcome: outcome, Attempt: tries,
 	}
 }
 
-// remember queues the record of a repeatable request for the table. Where too many wait, as in a long outage, it is
-// dropped: the request may be repeated, so losing its record loses no promise.
-func (in *Intake) remember(r settlement.Record) {
+// queueRecord queues the record of a repeatable request for the table. If the queue is full, as in a long outage, the
+// record is dropped. That breaks no guarantee, because the request may be repeated.
+func (in *Intake) queueRecord(r settlement.Record) {
 	select {
-	case in.notes <- r:
+	case in.records <- r:
 	default:
 	}
 }
 
-// noteWriters is the number of records of repeatable requests that wait for the table at once.
-const noteWriters = 200
+// recordWriters is the number of records of repeatable requests that are committed concurrently.
+const recordWriters = 200
 
-// noteLoop writes the records of repeatable requests with the least priority.
-func (in *Intake) noteLoop(ctx context.Context) {
-	slots := make(chan struct{}, noteWriters)
+// recordLoop commits the records of repeatable requests with the lowest priority.
+func (in *Intake) recordLoop(ctx context.Context) {
+	slots := make(chan struct{}, recordWriters)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-in.notes:
+		case r := <-in.records:
 			slots <- struct{}{}
 			go func() {
 				defer func() { <-slots }()
 				key := settlement.RequestKey(r.Identity)
-				_, _ = in.Committer.Do(ctx, table.Op{ // A row that stands there already is the outcome that counts.
+				_, _ = in.Committer.Do(ctx, table.Op{ // Fails if a row exists; that row has precedence.
 					Priority: table.Note,
 					Checks:   []table.Check{{Key: key}},
 					Writes:   []table.Write{table.Put(key, r)},
@@ -219,8 +221,8 @@
 	}
 }
 
-// Unrecorded returns the number of settled requests whose record waits.
+// Unrecorded returns the number of settled requests whose records are queued.
 func (in *Intake) Unrecorded() int {
 	in.init()
-	return len(in.notes)
+	return len(in.records)
 }
--- a/internal/intake/waiters.go
+++ b/internal/intake/waiters.go
@@ -7,20 +7,20 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// waiters are the callers that wait for an outcome in this box.
+// waiters holds the callers that wait for an outcome in this box.
 type waiters struct {
 	mu   sync.Mutex
 	list map[request.Identity][]waiter
 }
 
-// waiter is one caller that waits.
+// waiter is one waiting caller.
 type waiter struct {
-	round   int // Outcomes of earlier submissions of the id are not for it.
+	round   int // Outcomes of submissions with a lower number are not delivered to it.
 	replies chan request.Reply
 }
 
-// add returns a channel on which the outcome of a request arrives, of that submission or a later one, and a function
-// that ends the wait.
+// add registers a waiter. It returns a channel on which the outcome of the given or a later submission arrives, and a
+// function that removes the waiter.
 func (w *waiters) add(id request.Identity, round int) (<-chan request.Reply, func()) {
 	c := make(chan request.Reply, 1)
 	w.mu.Lock()
@@ -36,9 +36,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var rest []waiter
-	for _, o := range w.list[id] {
-		if o.replies != c {
-			rest = append(rest, o)
+	for _, entry := range w.list[id] {
+		if entry.replies != c {
+			rest = append(rest, entry)
 		}
 	}
 	if len(rest) == 0 {
@@ -48,22 +48,22 @@
 	w.list[id] = rest
 }
 
-// deliver hands the outcome of a submission to everyone who waits for it.
+// deliver sends the outcome of a submission to all its waiters.
 func (w *waiters) deliver(id request.Identity, round int, reply request.Reply) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, o := range w.list[id] {
-		if round < o.round {
+	for _, entry := range w.list[id] {
+		if round < entry.round {
 			continue
 		}
 		select {
-		case o.replies <- reply:
-		default: // It has one already.
+		case entry.replies <- reply:
+		default: // The waiter already has an outcome.
 		}
 	}
 }
 
-// ids returns the requests that are waited for.
+// ids returns the requests that callers wait for.
 func (w *waiters) ids() []request.Identity {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,12 +74,12 @@
 	return list
 }
 
-// wait returns the outcome when it arrives, or the reply so far where ctx ends first.
-func wait(ctx context.Context, c <-chan request.Reply, sofar request.Reply) request.Reply {
+// wait returns the outcome that arrives on c, or soFar if ctx ends first.
+func wait(ctx context.Context, c <-chan request.Reply, soFar request.Reply) request.Reply {
 	select {
 	case r := <-c:
 		return r
 	case <-ctx.Done():
-		return sofar
+		return soFar
 	}
 }
--- a/internal/settlement/gang.go
+++ b/internal/settlement/gang.go
@@ -7,42 +7,43 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// Sight is what is known of one seat of an attempt.
+// Sight is the last known state of one placement of an attempt.
 type Sight struct {
 	Task    worker.Task
 	Known   bool // The worker reported in time.
-	Lost    bool // The worker is silent, or has no trace of it; it may run on until its lease is over.
-	Expired bool // The same, and its lease is surely over.
-	// Traceless says that the worker has no trace of it, so that it won't list an end.
+	Lost    bool // The worker is silent or has no record of the task, which may run until its lease expires.
+	Expired bool // Like Lost, and its lease has certainly expired.
+	// Traceless means that the worker has no record of the task, so it will not report its end.
 	Traceless bool
 }
 
-// Step is what an attempt needs next.
+// Step is the next action for an attempt.
 type Step string
 
-// The steps that Judge returns.
+// Steps of an attempt.
 const (
-	Keep    Step = "keep"    // Nothing; it runs, or too little is known yet.
-	Push    Step = "push"    // All members are live and some have not been told to go.
-	End     Step = "end"     // A member is lost or failed: stop the others.
-	Finish  Step = "finish"  // Every member finished: settle with the answers.
-	Again   Step = "again"   // Nothing runs any more, and the job may run again.
-	Fail    Step = "fail"    // Nothing runs any more, it ran or may have run, and it does not run again.
-	Cancel  Step = "cancel"  // Nothing ran at all, and the job was cancelled.
-	Unknown Step = "unknown" // Whether it ran can't be found out, and it may not run again.
+	Keep    Step = "keep"    // Do nothing: it runs, or too little is known yet.
+	Push    Step = "push"    // All members are live and some have not been commanded to start running.
+	End     Step = "end"     // A member was lost or failed: stop the others.
+	Finish  Step = "finish"  // All members finished: settle with their answers.
+	Again   Step = "again"   // No member runs any more, and the job may run again.
+	Fail    Step = "fail"    // No member runs any more; the job ran or may have run, and does not run again.
+	Cancel  Step = "cancel"  // No member ran, and the job was cancelled.
+	Unknown Step = "unknown" // It cannot be known whether it ran, and it must not run again.
 )
 
-// ReasonUnknowable is told where a lost worker took with it whether an at-most-once gang ran.
+// ReasonUnknowable is the reason that a caller gets if only a lost worker knew whether an at-most-once gang ran.
 const ReasonUnknowable = "a worker that may have run it was lost and can't be asked"
 
-// ReasonForgotten is told where the upstream of an at-most-once request lost what it knew of it.
+// ReasonForgotten is the reason that a caller gets if the upstream lost its records of an at-most-once
+// request.
 const ReasonForgotten = "the upstream that may have run it has lost what it knew"
 
-// Judge returns the next step of an attempt from what is known of its seats.
-func Judge(j *Job, sights []Sight) Step {
-	c := count(sights)
+// Judge returns the next step of an attempt, given the state of each of its placements.
+func Judge(j *Job, states []Sight) Step {
+	c := countStates(states)
 	switch {
-	case c.finished == len(sights):
+	case c.finished == len(states):
 		return Finish
 	case c.unknown > 0:
 		if c.dead > 0 && j.State == Starting {
@@ -50,17 +51,17 @@
 		}
 		return Keep
 	case c.live == 0:
-		return afterwards(j, c)
+		return stepAfterEnd(j, c)
 	case c.dead > 0 && j.State == Starting:
 		return End
-	case c.running+c.finished < len(sights) && j.State == Starting:
+	case c.running+c.finished < len(states) && j.State == Starting:
 		return Push
 	}
 	return Keep
 }
 
-// afterwards returns what follows once no member can run any more.
-func afterwards(j *Job, c tally) Step {
+// stepAfterEnd returns the next step of an attempt that no longer has a live member.
+func stepAfterEnd(j *Job, c stateCounts) Step {
 	cancelled := j.Halt != nil && j.Halt.Cancel
 	switch {
 	case cancelled && c.ran == 0 && c.expired == 0:
@@ -71,7 +72,7 @@
 		return Fail
 	case !j.Submission.AtMostOnce:
 		return Again
-	case c.ran > 0 && resumes(j, c):
+	case c.ran > 0 && resumesFromCheckpoint(j, c):
 		return Again
 	case c.ran > 0:
 		return Fail
@@ -81,18 +82,18 @@
 	return Again
 }
 
-// resumes reports whether an at-most-once job goes on from a checkpoint: it was stopped for others and every member
-// was checkpointed, so that going on repeats nothing.
-func resumes(j *Job, c tally) bool {
-	return j.Submission.Checkpoints && j.Halt != nil && !j.Halt.Lost && c.saved == c.ran && c.expired == 0 && c.failed == 0
+// resumesFromCheckpoint reports whether an at-most-once job may continue from its checkpoint. It may if it was
+// stopped without the loss of a member and every member that ran was checkpointed: then no work is repeated.
+func resumesFromCheckpoint(j *Job, c stateCounts) bool {
+	return j.Submission.Checkpoints && j.Halt != nil && !j.Halt.Lost && c.checkpointed == c.ran && c.expired == 0 && c.failed == 0
 }
 
-// tally counts seats by what is known of them.
-type tally struct{ live, running, finished, failed, dead, ran, saved, expired, unknown int }
+// stateCounts counts the placements of an attempt by state.
+type stateCounts struct{ live, running, finished, failed, dead, ran, checkpointed, expired, unknown int }
 
-func count(sights []Sight) tally {
-	var c tally
-	for _, s := range sights {
+func countStates(states []Sight) stateCounts {
+	var c stateCounts
+	for _, s := range states {
 		if !s.Known {
 			switch {
 			case s.Expired:
@@ -107,7 +108,7 @@
 			continue
 		}
 		state := s.Task.State
-		if state == worker.Unknown { // The worker lost its memory, so nothing can be told from it.
+		if state == worker.Unknown { // The worker lost its records, so the task may have run.
 			c.expired++
 			c.dead++
 			continue
@@ -129,16 +130,17 @@
 			c.failed++
 		}
 		if s.Task.Checkpointed > 0 {
-			c.saved++
+			c.checkpointed++
 		}
 	}
 	return c
 }
 
-// Saved returns the seconds of work that the checkpoints of all seats hold, 0 unless every seat has one.
-func Saved(sights []Sight) float64 {
+// Saved returns the seconds of work that every placement has in its checkpoint: the least of them, or 0 if a
+// placement has no checkpoint.
+func Saved(states []Sight) float64 {
 	least := -1.0
-	for _, s := range sights {
+	for _, s := range states {
 		if !s.Known || s.Task.Checkpointed <= 0 {
 			return 0
 		}
@@ -149,17 +151,17 @@
 	return max(least, 0)
 }
 
-// Answers puts the answers of all seats together in the order of the seats.
-func Answers(sights []Sight) json.RawMessage {
-	parts := make([]json.RawMessage, len(sights))
-	for i, s := range sights {
+// Answers returns a JSON array with the answer of each placement, in the order of the placements.
+func Answers(states []Sight) json.RawMessage {
+	parts := make([]json.RawMessage, len(states))
+	for i, s := range states {
 		parts[i] = s.Task.Answer
 	}
-	raw, _ := json.Marshal(parts) // Raw JSON from workers that was decoded before always encodes.
+	raw, _ := json.Marshal(parts) // Cannot fail: the answers are JSON that was decoded before.
 	return raw
 }
 
-// Outcome returns what a step that settles tells the caller.
+// Outcome returns the outcome that a step gives the request, and false if the step does not settle it.
 func (s Step) Outcome() (request.Outcome, bool) {
 	switch s {
 	case Finish:
--- a/internal/settlement/gang_test.go
+++ b/internal/settlement/gang_test.go
@@ -7,15 +7,16 @@
 	"github.com/pulleyring/pulleyring/internal/worker"
 )
 
-// TestJudgeCancelledOnLostWorker says what follows a cancellation whose worker was lost before it told whether it ran: a
-// gang that must not be repeated stays open, as nobody can know; any other ends.
-func TestJudgeCancelledOnLostWorker(t *testing.T) {
+// TestCancelledOnLostWorker guards against a wrong outcome for a cancelled gang whose worker was lost before it
+// reported whether the gang ran. An at-most-once gang stays unresolved; any other fails, or is cancelled if it did
+// not start.
+func TestCancelledOnLostWorker(t *testing.T) {
 	lost := []Sight{{Expired: true}}
 	for _, c := range []struct {
-		name   string
-		once   bool
-		sights []Sight
-		want   Step
+		name       string
+		atMostOnce bool
+		sights     []Sight
+		want       Step
 	}{
 		{"at most once, lost", true, lost, Unknown},
 		{"repeatable, lost", false, lost, Fail},
@@ -24,7 +25,7 @@
 		{"at most once, never began", true, []Sight{{Known: true, Task: worker.Task{State: worker.Refused}}}, Cancel},
 	} {
 		j := &Job{State: Stopping, Halt: &Halt{Cancel: true}}
-		j.Submission.AtMostOnce = c.once
+		j.Submission.AtMostOnce = c.atMostOnce
 		qt.Check(t, Judge(j, c.sights), qt.Equals, c.want, qt.Commentf(c.name))
 	}
 }
--- a/internal/table/budget.go
+++ b/internal/table/budget.go
@@ -6,10 +6,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Budgeted keeps the reads of a box within its share; commits are limited by the Committer.
+// Budgeted limits the rate at which a box reads the table. The Committer limits the commits.
 type Budgeted struct {
 	Service
-	Reads *rate.Limiter
+	Reads *rate.Limiter // Calls of Read and Changes a second.
 }
 
 // Read implements Service.
--- a/internal/table/client.go
+++ b/internal/table/client.go
@@ -11,7 +11,7 @@
 	"github.com/pulleyring/pulleyring/internal/wire"
 )
 
-// Client speaks to the table service over HTTP.
+// Client calls the table service over HTTP.
 type Client struct {
 	Base string // Base URL, http://IP:port.
 	HTTP *http.Client
@@ -23,7 +23,7 @@
 		Revision int64 `json:"revision"`
 	}
 	err := c.call(ctx, http.MethodPost, "/table/commit", txn, &reply)
-	if errors.Is(err, ErrUnavailable) && !names(err, txn.ID) {
+	if errors.Is(err, ErrUnavailable) && !namesTransaction(err, txn.ID) {
 		return 0, errors.Wrap(ErrUnknown, err.Error())
 	}
 	return reply.Revision, err
@@ -62,15 +62,16 @@
 	return classify(err)
 }
 
-// refusal is a status by which the service, or a proxy before it, says that it did nothing.
+// refusal is a response status (429 or 503) with which the service, or a proxy in front of it, refuses a request.
 type refusal struct{ *wire.StatusError }
 
-// Is makes a refusal an ErrUnavailable.
+// Is reports that a refusal matches ErrUnavailable.
 func (refusal) Is(target error) bool { return target == ErrUnavailable }
 
-// names reports whether a refusal is that of a transaction. Only then is it the table's own word: a proxy answers with the same statuses,
-// also after it has handed a transaction on.
-func names(err error, txn string) bool {
+// namesTransaction reports whether err is a refusal whose body names the transaction. Only such a refusal comes from
+// the table itself and proves that nothing was written: a proxy answers with the same statuses, even after it has
+// forwarded the transaction.
+func namesTransaction(err error, txn string) bool {
 	var r refusal
 	if !errors.As(err, &r) {
 		return false
@@ -81,7 +82,8 @@
 	return json.Unmarshal([]byte(r.Text), &body) == nil && body.Txn == txn
 }
 
-// classify tells apart what surely did nothing from what may have been applied.
+// classify converts an HTTP error: status 409 to a *Conflict, 429 and 503 to a refusal (which matches
+// ErrUnavailable). After any other error the request may have been applied, so it becomes ErrUnknown.
 func classify(err error) error {
 	if err == nil {
 		return nil
--- a/internal/table/client_test.go
+++ b/internal/table/client_test.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// TestRefusalOfAnother says what a refusal proves. A proxy before the table answers with the same statuses as the table, also after it has
-// handed a transaction on; taken for the table's word, a gang was told as not run whose row was committed. Only an answer that names
-// the transaction is the table's.
-func TestRefusalOfAnother(t *testing.T) {
+// TestRefusalWithoutTransactionID guards against reporting a committed gang as not run. A proxy in front of the table
+// answers with the same statuses as the table, even after it has forwarded the transaction. Only a refusal that names
+// the transaction proves that nothing was written.
+func TestRefusalWithoutTransactionID(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
--- a/internal/table/committer.go
+++ b/internal/table/committer.go
@@ -12,63 +12,64 @@
 	"golang.org/x/time/rate"
 )
 
-// Priority orders what waits for the table; lower values go first.
+// Priority is the priority of a queued operation; lower values are sent first.
 type Priority int
 
-// The priorities of the table budget.
+// Priorities of operations, highest first.
 const (
-	Settle  Priority = iota // Outcomes of what ran.
-	Reclaim                 // Giving guarantees back and operators' commands.
+	Settle  Priority = iota // Outcomes of requests that ran.
+	Reclaim                 // Returning borrowed capacity to its guarantee, and operators' commands.
 	Start                   // Placements.
 	Accept                  // New requests.
-	Note                    // Records of repeatable requests whose callers were told already.
-	priorities
+	Note                    // Records of repeatable requests whose callers already have the outcome.
+	priorityCount
 )
 
-// ErrQueueFull says that an operation was refused before anything was sent.
+// ErrQueueFull is returned for an operation that is refused because the queue is full; nothing was sent.
 var ErrQueueFull = errors.New("table: too much waits for the table, nothing was done")
 
-// Limits of the committer that are no settings.
+// Limits of the committer that are not configurable.
 const (
-	maxRowsPerTxn   = 100
+	maxRowsPerTxn   = 100 // Rows written by one transaction.
 	firstBackoff    = 20 * time.Millisecond
 	maxBackoff      = 2 * time.Second
-	commitTimeout   = 2 * time.Second
-	commitsInFlight = 4
-	// abandonGrace is how long an owner that gave up waits for an operation that is being sent.
+	commitTimeout   = 2 * time.Second // Of one call to the table.
+	commitsInFlight = 4               // Transactions that a box sends at the same time.
+	// abandonGrace is how long a caller whose context ended still waits for an operation that is being sent.
 	abandonGrace = 200 * time.Millisecond
-	// maxWaiting bounds the acceptances that wait; settlements are bounded by what was accepted.
+	// maxWaiting is the largest number of queued operations of priority Accept. Settlements need no limit of their
+	// own: there are never more of them than accepted requests.
 	maxWaiting = 4096
 )
 
-// Op is one all-or-nothing change; each row that it writes must be among its checks.
+// Op is a set of writes that are applied together or not at all. Every row that it writes must be among its checks.
 type Op struct {
 	Priority Priority
 	Checks   []Check
 	Writes   []Write
 }
 
-// Committer groups the operations of one box into few transactions under a budget.
+// Committer batches the operations of one box into transactions and limits the rate of transactions.
 type Committer struct {
 	Service Service
 	Limiter *rate.Limiter // Transactions a second; nil means no limit.
 
 	mu      sync.Mutex
-	waiting [priorities][]*pending
-	count   int
+	waiting [priorityCount][]*queuedOp
+	queued  int
 	wake    chan struct{}
 	once    sync.Once
 
 	Stats CommitStats
 }
 
-// CommitStats counts what the committer did.
+// CommitStats holds the counters of a Committer.
 type CommitStats struct {
 	mu        sync.Mutex
 	Txns      int64 // Transactions sent, retries included.
 	Rows      int64 // Rows written by transactions that were applied.
-	Conflicts int64 // Operations that met another version.
-	Unknown   int64 // Transactions whose first answer was lost.
+	Conflicts int64 // Operations refused because a row had another version.
+	Unknown   int64 // Attempts to commit after which the outcome was unknown.
 }
 
 // Snapshot returns a copy of the counts.
@@ -87,31 +88,32 @@
 	s.Unknown += unknown
 }
 
-type pending struct {
+// queuedOp is an operation that is queued or being sent.
+type queuedOp struct {
 	Op
 	ctx  context.Context
 	done chan result
 }
 
-// result is the end of an operation.
+// result is the outcome of an operation.
 type result struct {
 	revision int64
 	err      error
 }
 
-// Do commits one operation and returns the revision that its rows have now. The error is a *Conflict, ErrUnavailable
-// or ErrQueueFull where surely nothing was written, and ErrUnknown where ctx ended while the outcome was open; the
-// operation may then still be applied later.
+// Do commits one operation and returns the new revision of its rows. After a *Conflict, ErrUnavailable or
+// ErrQueueFull nothing was written. ErrUnknown means that ctx ended before the outcome was known; the operation may
+// still be applied later.
 func (c *Committer) Do(ctx context.Context, op Op) (int64, error) {
 	c.init()
-	p := &pending{Op: op, ctx: ctx, done: make(chan result, 1)}
+	p := &queuedOp{Op: op, ctx: ctx, done: make(chan result, 1)}
 	c.mu.Lock()
 	if op.Priority == Accept && len(c.waiting[Accept]) >= maxWaiting {
 		c.mu.Unlock()
 		return 0, ErrQueueFull
 	}
 	c.waiting[op.Priority] = append(c.waiting[op.Priority], p)
-	c.count++
+	c.queued++
 	c.mu.Unlock()
 	c.signal()
 	select {
@@ -122,14 +124,14 @@
 	}
 }
 
-// Waiting returns how many operations wait to be sent.
+// Waiting returns the number of queued operations.
 func (c *Committer) Waiting() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.count
+	return c.queued
 }
 
-// Run sends what waits until ctx ends.
+// Run sends queued operations until ctx ends.
 func (c *Committer) Run(ctx context.Context) {
 	c.init()
 	var group sync.WaitGroup
@@ -150,33 +152,34 @@
 	}
 }
 
-// abandon takes back an operation that waits. One that is being sent has a moment to come back, either with its outcome
-// or because the service surely did nothing; after that it is unknown to its owner.
-func (c *Committer) abandon(p *pending) (int64, error) {
-	if c.takeBack(p) {
+// abandon ends an operation whose caller's context has ended. A queued operation is removed from the queue. One that
+// is being sent gets abandonGrace to return its outcome, or to be queued again because the service did nothing; after
+// that its outcome is unknown.
+func (c *Committer) abandon(p *queuedOp) (int64, error) {
+	if c.removeQueued(p) {
 		return 0, ErrUnavailable
 	}
-	over, stop := interval.After(abandonGrace)
+	timeout, stop := interval.After(abandonGrace)
 	defer stop()
 	select {
 	case r := <-p.done:
 		return r.revision, r.err
-	case <-over:
+	case <-timeout:
 	}
-	if c.takeBack(p) {
+	if c.removeQueued(p) {
 		return 0, ErrUnavailable
 	}
 	return 0, ErrUnknown
 }
 
-func (c *Committer) takeBack(p *pending) bool {
+func (c *Committer) removeQueued(p *queuedOp) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	queue := c.waiting[p.Priority]
 	for i, q := range queue {
 		if q == p {
 			c.waiting[p.Priority] = append(queue[:i:i], queue[i+1:]...)
-			c.count--
+			c.queued--
 			return true
 		}
 	}
@@ -195,7 +198,7 @@
 			if c.Limiter != nil && c.Limiter.Wait(ctx) != nil {
 				return
 			}
-			batch := c.take()
+			batch := c.nextBatch()
 			if len(batch) == 0 {
 				break
 			}
@@ -211,27 +214,28 @@
 	}
 }
 
-// take removes the next group: by priority, no row twice, at most maxRowsPerTxn rows.
-func (c *Committer) take() []*pending {
+// nextBatch removes the next batch from the queue, in order of priority. No row is in a batch twice, and the batch
+// writes at most maxRowsPerTxn rows unless its first operation alone writes more.
+func (c *Committer) nextBatch() []*queuedOp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var batch []*pending
+	var batch []*queuedOp
 	rows := 0
 	used := map[string]bool{}
 	for i, queue := range c.waiting {
-		var rest []*pending
+		var rest []*queuedOp
 		for _, p := range queue {
 			if rows+len(p.Writes) > maxRowsPerTxn && rows > 0 || overlaps(used, p.Op) {
 				rest = append(rest, p)
 				continue
 			}
-			mark(used, p.Op)
+			markUsed(used, p.Op)
 			rows += len(p.Writes)
 			batch = append(batch, p)
 		}
 		c.waiting[i] = rest
 	}
-	c.count -= len(batch)
+	c.queued -= len(batch)
 	return batch
 }
 
@@ -244,22 +248,23 @@
 	return false
 }
 
-func mark(used map[string]bool, op Op) {
+func markUsed(used map[string]bool, op Op) {
 	for _, k := range op.Checks {
 		used[k.Key] = true
 	}
 }
 
-// send commits a group; operations in conflict leave it and the others are sent again. It returns false where the
-// service surely did nothing; the operations wait again then, so that their owners may still take them back.
-func (c *Committer) send(ctx context.Context, batch []*pending) bool {
+// send commits a batch. Operations in conflict are removed and the others are sent again. If the service is
+// unavailable and did nothing, send queues the operations again, so that their callers can still abandon them, and
+// returns false.
+func (c *Committer) send(ctx context.Context, batch []*queuedOp) bool {
 	for len(batch) > 0 {
 		txn := Txn{ID: xid.New().String()}
 		for _, p := range batch {
 			txn.Checks = append(txn.Checks, p.Checks...)
 			txn.Writes = append(txn.Writes, p.Writes...)
 		}
-		revision, err := c.settle(ctx, txn)
+		revision, err := c.commitUntilKnown(ctx, txn)
 		var conflict *Conflict
 		switch {
 		case err == nil:
@@ -267,9 +272,9 @@
 			finish(batch, result{revision, nil})
 			return true
 		case errors.As(err, &conflict):
-			batch = c.split(batch, conflict)
+			batch = c.removeConflicting(batch, conflict)
 		case errors.Is(err, ErrUnavailable):
-			c.putBack(batch)
+			c.requeue(batch)
 			return false
 		default:
 			finish(batch, result{0, err})
@@ -279,63 +284,64 @@
 	return true
 }
 
-// putBack lets the operations of a group wait again, before those that came later.
-func (c *Committer) putBack(batch []*pending) {
+// requeue returns the operations of a batch to the front of their queues.
+func (c *Committer) requeue(batch []*queuedOp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var groups [priorities][]*pending
+	var groups [priorityCount][]*queuedOp
 	for _, p := range batch {
-		if p.ctx.Err() != nil { // Its owner has left, or is about to, and is told that nothing was done.
+		if p.ctx.Err() != nil { // Its caller has left or is about to; nothing was written.
 			p.done <- result{0, ErrUnavailable}
 			continue
 		}
 		groups[p.Priority] = append(groups[p.Priority], p)
-		c.count++
+		c.queued++
 	}
 	for i, g := range groups {
 		c.waiting[i] = append(g, c.waiting[i]...)
 	}
 }
 
-// split answers the operations in conflict and returns the others.
-func (c *Committer) split(batch []*pending, conflict *Conflict) []*pending {
-	lost := map[string]bool{}
+// removeConflicting returns the conflict to the operations that it concerns, and returns the remaining operations.
+func (c *Committer) removeConflicting(batch []*queuedOp, conflict *Conflict) []*queuedOp {
+	conflicting := map[string]bool{}
 	for _, k := range conflict.Keys {
-		lost[k] = true
+		conflicting[k] = true
 	}
-	var rest []*pending
+	var rest []*queuedOp
 	for _, p := range batch {
-		if overlaps(lost, p.Op) {
+		if overlaps(conflicting, p.Op) {
 			p.done <- result{0, conflict}
 			continue
 		}
 		rest = append(rest, p)
 	}
 	c.Stats.add(0, 0, int64(len(batch)-len(rest)), 0)
-	if len(rest) == len(batch) { // A conflict that names no row of ours would repeat for ever.
+	if len(rest) == len(batch) { // A conflict that names none of the rows would repeat forever.
 		finish(batch, result{0, conflict})
 		return nil
 	}
 	return rest
 }
 
-// settle sends one transaction until its outcome is known or ctx ends. The same id is sent again after a lost
-// answer: because every written row is checked, it can be applied once only, and a conflict that the first
-// sending caused is told apart by the id in the rows.
-func (c *Committer) settle(ctx context.Context, txn Txn) (int64, error) {
+// commitUntilKnown sends a transaction until its outcome is known or ctx ends. If a response is lost, it sends the
+// transaction again with the same ID. It can be applied only once, because every written row is checked. If an
+// earlier attempt was applied, the next one conflicts with it; the transaction ID in the rows then shows that the
+// transaction was applied.
+func (c *Committer) commitUntilKnown(ctx context.Context, txn Txn) (int64, error) {
 	backoff := firstBackoff
-	unsure := false
+	outcomeUnknown := false
 	for {
-		revision, err := c.try(ctx, txn)
+		revision, err := c.tryCommit(ctx, txn)
 		var conflict *Conflict
 		switch {
 		case err == nil:
 			return revision, nil
 		case errors.As(err, &conflict):
-			if !unsure {
+			if !outcomeUnknown {
 				return 0, err
 			}
-			revision, readErr := c.applied(ctx, txn)
+			revision, readErr := c.appliedRevision(ctx, txn)
 			if readErr == nil && revision > 0 {
 				return revision, nil
 			}
@@ -343,12 +349,12 @@
 				return 0, err
 			}
 		case errors.Is(err, ErrUnavailable):
-			if !unsure {
+			if !outcomeUnknown {
 				return 0, ErrUnavailable
 			}
 		default:
 			c.Stats.add(0, 0, 0, 1)
-			unsure = true
+			outcomeUnknown = true
 		}
 		if !interval.Sleep(ctx, backoff/2+rand.N(backoff)) {
 			return 0, ErrUnknown
@@ -357,15 +363,15 @@
 	}
 }
 
-func (c *Committer) try(ctx context.Context, txn Txn) (int64, error) {
+func (c *Committer) tryCommit(ctx context.Context, txn Txn) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	c.Stats.add(1, 0, 0, 0)
 	return c.Service.Commit(ctx, txn)
 }
 
-// applied reads back the revision at which an earlier sending of txn was applied, or 0.
-func (c *Committer) applied(ctx context.Context, txn Txn) (int64, error) {
+// appliedRevision returns the revision at which an earlier attempt to commit txn was applied, or 0 if none was.
+func (c *Committer) appliedRevision(ctx context.Context, txn Txn) (int64, error) {
 	keys := make([]string, len(txn.Writes))
 	for i, w := range txn.Writes {
 		keys[i] = w.Key
@@ -384,7 +390,7 @@
 	return 0, nil
 }
 
-func finish(batch []*pending, r result) {
+func finish(batch []*queuedOp, r result) {
 	for _, p := range batch {
 		p.done <- r
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,4 +1,5 @@
-// Package table is the platform's transactional table service as the boxes see it.
+// Package table is the client side of the platform's transactional table service. It batches the commits of a box and
+// limits the rate of its reads and commits.
 package table
 
 import (
@@ -8,47 +9,48 @@
 	"github.com/pkg/errors"
 )
 
-// Row is one committed row.
+// Row is a committed row, or a mark that the row is absent or deleted.
 type Row struct {
 	Key     string          `json:"key"`
 	Version int64           `json:"version"` // Revision of the table that wrote it; 0 means absent.
-	Txn     string          `json:"txn"`     // Id of the transaction that wrote it.
+	Txn     string          `json:"txn"`     // ID of the transaction that wrote it.
 	Deleted bool            `json:"deleted,omitempty"`
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Check is the condition that a row still has a version; 0 asks that it be absent.
+// Check is the condition that a row has the given version; 0 means that the row must be absent.
 type Check struct {
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
 }
 
-// Write sets or deletes one row.
+// Write sets a row to a value or deletes it.
 type Write struct {
 	Key    string          `json:"key"`
 	Value  json.RawMessage `json:"value,omitempty"`
 	Delete bool            `json:"delete,omitempty"`
 }
 
-// Txn is a conditional transaction; its id is stored in the rows that it writes.
+// Txn is a transaction that is applied only if all its checks hold. Its ID is stored in the rows that it writes.
 type Txn struct {
 	ID     string  `json:"id"`
 	Checks []Check `json:"checks"`
 	Writes []Write `json:"writes"`
 }
 
-// ErrUnavailable says that the service surely did nothing, in the name of the transaction where it was asked to write.
-var ErrUnavailable = errors.New("table: unavailable, nothing was done")
+// ErrUnavailable means that the service refused a request and did nothing. For a commit, the refusal must name the
+// transaction.
+var ErrUnavailable = errors.New("table: service is unavailable; nothing was written")
 
-// ErrUnknown says that the outcome of a transaction is not known.
+// ErrUnknown means that a request may or may not have been carried out.
 var ErrUnknown = errors.New("table: the outcome is not known")
 
-// Conflict says that nothing was written because rows had other versions.
+// Conflict is returned by a commit that wrote nothing because rows had other versions.
 type Conflict struct {
 	Keys []string `json:"keys"` // The rows whose checks failed.
 }
 
-// Error returns the first row in conflict.
+// Error names the first row in conflict.
 func (c *Conflict) Error() string {
 	if len(c.Keys) == 0 {
 		return "table: conflict"
@@ -56,26 +58,26 @@
 	return "table: conflict at " + c.Keys[0]
 }
 
-// Service is the table service; implementations are the HTTP client and the stand-in.
+// Service is the table service. It is implemented by Client and, for tests, by package standin.
 type Service interface {
-	// Commit applies the transaction whole or not at all and returns the new revision.
-	// The error is a *Conflict, ErrUnavailable, or anything else where the outcome is not known.
+	// Commit applies all writes of the transaction or none, and returns the new revision. After a *Conflict or
+	// ErrUnavailable nothing was written; after any other error the outcome is unknown.
 	Commit(ctx context.Context, txn Txn) (int64, error)
-	// Read returns the rows of the keys in their order; absent rows have version 0.
+	// Read returns the rows in the order of the keys; absent rows have version 0.
 	Read(ctx context.Context, keys []string) ([]Row, error)
-	// Changes returns rows under a prefix written after a revision, oldest first, at most limit,
-	// with the revision up to which the answer is complete.
+	// Changes returns at most limit rows under a prefix that were written after a revision, oldest first, and the
+	// revision up to which the result is complete.
 	Changes(ctx context.Context, prefix string, after int64, limit int) ([]Row, int64, error)
 }
 
-// Put returns a write of a value as JSON.
+// Put returns a Write that sets a row to the value, encoded as JSON.
 func Put(key string, value any) Write {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		panic(errors.Wrapf(err, "table: unable to encode %s", key)) // Our own plain structs always encode.
+		panic(errors.Wrapf(err, "table: unable to encode %s", key)) // The structs of rows always encode.
 	}
 	return Write{Key: key, Value: raw}
 }
 
-// Drop returns the deletion of a row.
+// Drop returns a Write that deletes a row.
 func Drop(key string) Write { return Write{Key: key, Delete: true} }
