--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole site in one process over real loopback sockets: stand-ins, boxes and callers, with a burst
-// and faults, and judges what came of it by the records of the stand-ins and the callers.
+// Package demo runs a whole site in one process over loopback sockets: stand-ins, boxes and callers. It sends a burst
+// of requests, injects faults and checks the outcome against the records of the stand-ins and the callers.
 package demo
 
 import (
@@ -23,7 +23,7 @@
 	"go.uber.org/zap"
 )
 
-// Options are what can be chosen.
+// Options configures a run of the demo.
 type Options struct {
 	Site    string
 	Boxes   int
@@ -33,33 +33,33 @@
 	Out     io.Writer
 }
 
-// Times of the demo as shares of its length, and bounds.
+// Times of the demo's events, as shares of its length, and timeouts.
 const (
-	plannedAt  = 0.25 // A box is stopped as planned.
-	cutAt      = 0.45 // A box is cut off.
-	replacedAt = 0.55 // A box takes the place of the one that was cut off.
-	reclaimAt  = 0.65 // A workspace reclaims its guarantee.
-	settleMost = 25 * time.Second
-	readyMost  = 10 * time.Second
-	progress   = time.Second
-	standinURL = "127.0.0.1:7400" // In the sites' files.
+	plannedStopAt    = 0.25 // A box's planned stop begins.
+	killAt           = 0.45 // A box is killed.
+	replaceAt        = 0.55 // A new box replaces the killed one.
+	reclaimAt        = 0.65 // A workspace reclaims its guarantee.
+	settleTimeout    = 25 * time.Second
+	readyTimeout     = 10 * time.Second
+	progressInterval = time.Second
+	standinAddress   = "127.0.0.1:7400" // The stand-ins' address in the sites' files.
 )
 
-// demo is one run.
+// demo is the state of one run.
 type demo struct {
 	Options
-	config   *contract.Site
-	text     string
-	keys     map[string]string // By name of a caller or operator.
-	platform *standin.Platform
-	fleet    *fleet
-	balancer *standin.Balancer
-	operator *caller.Client
-	load     *load
-	began    time.Time
+	config    *contract.Site
+	siteText  string
+	keys      map[string]string // By the name of the caller or operator.
+	platform  *standin.Platform
+	fleet     *fleet
+	balancer  *standin.Balancer
+	operator  *caller.Client
+	load      *load
+	startedAt time.Time
 }
 
-// Run runs the demo and returns its judgement.
+// Run runs the demo and returns the judgement of its outcome.
 func Run(ctx context.Context, o Options) (*judge.Judgement, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -68,23 +68,24 @@
 		return nil, err
 	}
 	defer d.fleet.close()
-	if err := d.putInForce(ctx); err != nil {
+	if err := d.applySite(ctx); err != nil {
 		return nil, err
 	}
-	d.began = time.Now()
+	d.startedAt = time.Now()
 	length := time.Duration(o.Seconds) * time.Second
 	d.load = newLoad(d, length)
 	go d.load.run(ctx)
 	go d.report(ctx)
-	d.script(ctx, length)
-	d.load.wait(settleMost)
+	d.injectFaults(ctx, length)
+	d.load.wait(settleTimeout)
 	return d.load.judge(), nil
 }
 
-func (d *demo) say(format string, args ...any) {
+// printf prints a line that starts with the seconds since the start of the burst.
+func (d *demo) printf(format string, args ...any) {
 	at := 0.0
-	if !d.began.IsZero() {
-		at = time.Since(d.began).Seconds()
+	if !d.startedAt.IsZero() {
+		at = time.Since(d.startedAt).Seconds()
 	}
 	fmt.Fprintf(d.Out, "%5.1fs  %s\n", at, fmt.Sprintf(format, args...))
 }
@@ -114,7 +115,7 @@
 			return err
 		}
 	}
-	d.say("%d boxes, %d workers, %d executors of %s", d.Boxes, d.workers(), len(d.config.Upstreams), d.config.Name)
+	d.printf("%d boxes, %d workers, %d executors of %s", d.Boxes, d.workers(), len(d.config.Upstreams), d.config.Name)
 	return nil
 }
 
@@ -128,7 +129,7 @@
 	return n
 }
 
-// readSite reads the site's file, with the stand-ins' address and keys made for this run.
+// readSite reads the site's file, replaces the stand-ins' address in it and creates new keys for this run.
 func (d *demo) readSite(address string) error {
 	raw, err := deploy.Sites.ReadFile(d.Site + "/site.ini")
 	if err != nil {
@@ -143,72 +144,74 @@
 	if err != nil {
 		return err
 	}
-	d.text = strings.ReplaceAll(string(raw), standinURL, address)
-	d.config, err = site.Parse(d.Site, []byte(d.text))
+	d.siteText = strings.ReplaceAll(string(raw), standinAddress, address)
+	d.config, err = site.Parse(d.Site, []byte(d.siteText))
 	return err
 }
 
-// client returns a client behind the balancer.
+// client returns a client with the key of a caller or operator; it sends its requests through the balancer.
 func (d *demo) client(name string) *caller.Client {
 	return &caller.Client{Boxes: []string{"http://balancer"}, Key: d.keys[name], HTTP: &http.Client{Transport: d.balancer}}
 }
 
-// putInForce applies the configuration and waits until every box has it.
-func (d *demo) putInForce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyMost)
+// applySite applies the configuration and waits until every box has it.
+func (d *demo) applySite(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if _, err := d.operator.Operate(ctx, http.MethodPut, "/v1/site", nil, []byte(d.text)); err != nil {
+	if _, err := d.operator.Operate(ctx, http.MethodPut, "/v1/site", nil, []byte(d.siteText)); err != nil {
 		return errors.Wrap(err, "demo: unable to apply the site")
 	}
-	for !d.fleet.inForce() {
+	for !d.fleet.configApplied() {
 		select {
 		case <-ctx.Done():
-			return errors.New("demo: the configuration did not come into force")
+			return errors.New("demo: the boxes did not apply the configuration in time")
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	d.say("the configuration is in force in every box")
+	d.printf("the configuration is in force in every box")
 	return nil
 }
 
-// script brings the faults about.
-func (d *demo) script(ctx context.Context, length time.Duration) {
+// injectFaults injects the faults at their times and returns at the end of the burst.
+func (d *demo) injectFaults(ctx context.Context, length time.Duration) {
 	bad := d.config.Halls[0].Racks[0].Workers[2].Name
 	d.platform.Faults.Set(standin.Faults{FailWorkers: []string{bad}})
-	d.say("worker %s fails everything from now on", bad)
-	d.at(length, plannedAt)
+	d.printf("worker %s fails everything from now on", bad)
+	d.sleepUntil(length, plannedStopAt)
 	if d.Boxes > 1 {
-		d.say("box %s is stopped as planned", d.fleet.plan(0))
+		d.printf("box %s is stopped as planned", d.fleet.beginPlannedStop(0))
 	}
-	d.at(length, cutAt)
+	d.sleepUntil(length, killAt)
 	if d.Boxes > 2 {
-		d.say("box %s is cut off", d.fleet.cut(1))
+		d.printf("box %s is cut off", d.fleet.kill(1))
 	}
-	d.at(length, replacedAt)
+	d.sleepUntil(length, replaceAt)
 	if err := d.fleet.add(ctx); err != nil {
-		d.say("a new box could not start: %v", err)
+		d.printf("a new box could not start: %v", err)
 	} else {
-		d.say("a new box takes a place")
+		d.printf("a new box takes a place")
 	}
-	d.at(length, reclaimAt)
+	d.sleepUntil(length, reclaimAt)
 	d.load.reclaim(ctx)
-	d.at(length, 1)
-	d.say("the burst is over; what is open is settled")
+	d.sleepUntil(length, 1)
+	d.printf("the burst is over; what is open is settled")
 }
 
-func (d *demo) at(length time.Duration, share float64) {
-	time.Sleep(time.Until(d.began.Add(time.Duration(share * float64(length)))))
+// sleepUntil sleeps until a share of the demo's length has passed.
+func (d *demo) sleepUntil(length time.Duration, share float64) {
+	time.Sleep(time.Until(d.startedAt.Add(time.Duration(share * float64(length)))))
 }
 
-// report prints where things stand every second.
+// report prints the number of requests, settled requests and running boxes every second.
 func (d *demo) report(ctx context.Context) {
-	interval.Every(ctx, progress, func(context.Context) {
+	interval.Every(ctx, progressInterval, func(context.Context) {
 		requests, settled := d.load.counts()
-		d.say("%d requests, %d settled; %d boxes ready", requests, settled, d.fleet.ready())
+		d.printf("%d requests, %d settled; %d boxes ready", requests, settled, d.fleet.runningCount())
 	})
 }
 
-// Good reports whether every promise held, everything was settled and the guarantee came back.
+// Good reports whether no promise was broken, all requests were settled and at least one block of the guarantee was
+// reclaimed in time.
 func Good(j *judge.Judgement) bool {
 	return j.Broken() == 0 && j.Settled == j.Requests && j.Requests > 0 && j.GuaranteesReclaimed > 0
 }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -19,24 +19,24 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// running is one box of the demo.
-type running struct {
+// runningBox is a box of the demo with its network and the means to stop it.
+type runningBox struct {
 	*box.Box
-	address string
-	network *link.QUIC
-	planned chan struct{}
-	kill    context.CancelFunc
-	done    chan struct{}
+	address     string
+	network     *link.QUIC
+	plannedStop chan struct{}
+	cancel      context.CancelFunc
+	done        chan struct{}
 }
 
-// fleet is the boxes of the demo.
+// fleet starts and stops the boxes of the demo.
 type fleet struct {
 	demo      *demo
 	platform  string // Address of the stand-ins.
 	authority *identity.Authority
 
 	mu    sync.Mutex
-	boxes []*running
+	boxes []*runningBox
 }
 
 func newFleet(d *demo, platform string) (*fleet, error) {
@@ -44,12 +44,14 @@
 	return &fleet{demo: d, platform: platform, authority: authority}, err
 }
 
-// newTransport returns a transport of its own for each user, as separate machines would have.
+// newTransport returns a new HTTP transport. Each user gets one, so that they share no connections, like separate
+// machines.
 func newTransport() *http.Transport {
 	return &http.Transport{MaxIdleConnsPerHost: 512, IdleConnTimeout: time.Minute, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 }
 
-// quietLog keeps the stand-ins' servers from reporting the connections that they break off on purpose.
+// quietLog returns a logger that discards everything: the stand-ins' server would log each connection that it aborts
+// on purpose.
 func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
 // add starts one more box.
@@ -73,12 +75,12 @@
 	s.Table, s.Objects, s.LiveList = "http://"+f.platform, "http://"+f.platform, "http://"+f.platform
 	b := box.New(s, box.OverHTTP(s, &http.Client{Transport: newTransport()}, network), f.demo.Log)
 	network.Handle = b.Handle
-	r := &running{Box: b, address: s.Listen, network: network, planned: make(chan struct{}), done: make(chan struct{})}
-	ctx, r.kill = context.WithCancel(ctx)
+	r := &runningBox{Box: b, address: s.Listen, network: network, plannedStop: make(chan struct{}), done: make(chan struct{})}
+	ctx, r.cancel = context.WithCancel(ctx)
 	go network.Serve(ctx)
 	go func() {
 		defer close(r.done)
-		_ = b.Run(ctx, r.planned, listener) // It ends when it is told to.
+		_ = b.Run(ctx, r.plannedStop, listener) // It returns after a planned stop or a kill.
 		network.Close()
 	}()
 	f.boxes = append(f.boxes, r)
@@ -86,11 +88,12 @@
 	return nil
 }
 
-// settings returns the settings of the box of a number: boxes go round the halls.
-func (f *fleet) settings(number int) *settings.Box {
+// settings returns the settings of the box with an index, counted from 0. Boxes are assigned to the halls round
+// robin.
+func (f *fleet) settings(index int) *settings.Box {
 	s := settings.Defaults()
-	s.Name = fmt.Sprintf("box-%d", number+1)
-	s.Hall = f.demo.config.Halls[number%len(f.demo.config.Halls)].Name
+	s.Name = fmt.Sprintf("box-%d", index+1)
+	s.Hall = f.demo.config.Halls[index%len(f.demo.config.Halls)].Name
 	s.Lease.Renew = 300 * time.Millisecond
 	s.Lease.Run = 4 * time.Second
 	s.Timing.BalancerDelay = time.Second
@@ -98,26 +101,27 @@
 	return &s
 }
 
-// plan stops a box as planned.
-func (f *fleet) plan(i int) string {
+// beginPlannedStop begins the planned stop of a box and returns its name.
+func (f *fleet) beginPlannedStop(i int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.demo.balancer.Planned(f.boxes[i].address)
-	close(f.boxes[i].planned)
+	close(f.boxes[i].plannedStop)
 	return f.boxes[i].Settings.Name
 }
 
-// cut ends a box without warning: its sockets close and nothing of it goes on.
-func (f *fleet) cut(i int) string {
+// kill kills a box without a planned stop: it closes the sockets and cancels all its work. It returns the box's name.
+func (f *fleet) kill(i int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.boxes[i].network.Close()
-	f.boxes[i].kill()
+	f.boxes[i].cancel()
 	return f.boxes[i].Settings.Name
 }
 
-// inForce reports whether every box has the configuration and every hall is decided for.
-func (f *fleet) inForce() bool {
+// configApplied reports whether every box has the configuration and knows its peers, and every hall has a box that
+// schedules it.
+func (f *fleet) configApplied() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	halls := map[string]bool{}
@@ -134,8 +138,8 @@
 	return len(halls) == len(f.demo.config.Halls)
 }
 
-// ready returns the number of boxes that run.
-func (f *fleet) ready() int {
+// runningCount returns the number of running boxes.
+func (f *fleet) runningCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -153,15 +157,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.boxes {
-		r.kill()
+		r.cancel()
 	}
 	for _, r := range f.boxes {
 		<-r.done
 	}
 }
 
-// explain prints what the boxes know of a job that is not settled.
-func (f *fleet) explain(d *demo, job string) {
+// printJob prints what the boxes know of a job that is not settled: its state in each hall, then all events in order.
+func (f *fleet) printJob(d *demo, job string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var lists [][]timeline.Event
@@ -172,12 +176,12 @@
 				continue
 			}
 			if e := k.Book.Job(job); e != nil {
-				d.say("  in %s of %s: %s, attempt %d in %s; %s", k.Hall, r.Settings.Name, e.State, e.Number, e.Rack, k.Why(job))
+				d.printf("  in %s of %s: %s, attempt %d in %s; %s", k.Hall, r.Settings.Name, e.State, e.Number, e.Rack, k.Why(job))
 			}
 		}
 	}
 	for _, e := range timeline.Merge(lists...) {
-		at := time.Unix(0, e.Stamp.Wall).Sub(d.began).Seconds()
-		d.say("  %6.2fs %s %s %s: %s", at, e.Box, e.Hall, e.Attempt, e.Text)
+		at := time.Unix(0, e.Stamp.Wall).Sub(d.startedAt).Seconds()
+		d.printf("  %6.2fs %s %s %s: %s", at, e.Box, e.Hall, e.Attempt, e.Text)
 	}
 }
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -15,37 +15,37 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// Rates and sizes of the burst.
+// Rates of the burst and timeouts of its callers.
 const (
-	smallPerSecond = 60.0 // Of all callers together.
+	smallPerSecond = 60.0 // All callers together.
 	gangsPerSecond = 6.0
-	callWait       = 5 * time.Second
-	askSeconds     = 45 // How long a caller goes on asking.
+	callTimeout    = 5 * time.Second
+	outcomeSeconds = 45 // Time after which a caller stops asking for an outcome.
 )
 
-// load is the callers.
+// load runs the callers and records what they send and receive.
 type load struct {
 	demo   *demo
 	length time.Duration
-	names  [3]string // The site's own words for its three kinds: small, middle, large.
+	kinds  [3]string // The site's names of its three kinds of work: small, medium, large.
 
-	group sync.WaitGroup
-	mu    sync.Mutex
-	told  []*judge.Told
-	errs  map[request.Identity]error
+	group      sync.WaitGroup
+	mu         sync.Mutex
+	exchanges  []*judge.Told
+	lastErrors map[request.Identity]error
 
-	reclaimed, refused int
+	reclaimed, notReclaimed int
 }
 
 func newLoad(d *demo, length time.Duration) *load {
-	l := &load{demo: d, length: length, errs: map[request.Identity]error{}, names: [3]string{"single_pull", "subscriber_trace", "tower_dump"}}
+	l := &load{demo: d, length: length, lastErrors: map[request.Identity]error{}, kinds: [3]string{"single_pull", "subscriber_trace", "tower_dump"}}
 	if d.Site == "yeongdong" {
-		l.names = [3]string{"picking_tally", "sugar_reconciliation", "season_summary"}
+		l.kinds = [3]string{"picking_tally", "sugar_reconciliation", "season_summary"}
 	}
 	return l
 }
 
-// run lets every caller send its part of the burst.
+// run starts two streams of requests for each caller: small requests and gangs.
 func (l *load) run(ctx context.Context) {
 	callers := l.demo.config.Callers
 	for i, c := range callers {
@@ -57,10 +57,10 @@
 	}
 }
 
-// stream sends requests of one caller at a mean rate until the burst is over.
+// stream sends requests of one caller until the burst ends, at random intervals with a mean rate.
 func (l *load) stream(ctx context.Context, c contract.Caller, random *rand.Rand, perSecond float64, next func(*rand.Rand, contract.Caller) request.Submission) {
 	client := l.demo.client(c.Name)
-	for i := 0; time.Since(l.demo.began) < l.length; i++ {
+	for i := 0; time.Since(l.demo.startedAt) < l.length; i++ {
 		s := next(random, c)
 		prefix := "s"
 		if s.Gang > 0 {
@@ -76,26 +76,27 @@
 	}
 }
 
-// payload returns work of a length, made different for each request so that a wrong answer shows.
+// payload returns a payload with a run time. Its nonce differs for each request, so that an answer to another request
+// is detected.
 func payload(random *rand.Rand, length time.Duration) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"work_ms":%d,"nonce":%d}`, length.Milliseconds(), random.Uint64()))
 }
 
 func (l *load) small(random *rand.Rand, c contract.Caller) request.Submission {
 	return request.Submission{
-		Kind: l.names[0], Workspace: c.Workspaces[0], DeclaredSeconds: 1, AtMostOnce: random.IntN(4) == 0,
+		Kind: l.kinds[0], Workspace: c.Workspaces[0], DeclaredSeconds: 1, AtMostOnce: random.IntN(4) == 0,
 		Payload: payload(random, time.Duration(5+random.IntN(120))*time.Millisecond),
 	}
 }
 
 func (l *load) gang(random *rand.Rand, c contract.Caller) request.Submission {
 	s := request.Submission{
-		Kind: l.names[1], Workspace: c.Workspaces[0], Gang: 1 + random.IntN(4), Shape: contract.Shape{CPUs: 4, MemoryGB: 16, Accelerators: 1},
+		Kind: l.kinds[1], Workspace: c.Workspaces[0], Gang: 1 + random.IntN(4), Shape: contract.Shape{CPUs: 4, MemoryGB: 16, Accelerators: 1},
 		AtMostOnce: random.IntN(5) == 0, Checkpoints: random.IntN(2) == 0, Urgent: random.IntN(10) == 0,
 	}
 	length := time.Duration(300+random.IntN(2500)) * time.Millisecond
 	if random.IntN(6) == 0 {
-		s.Kind, s.Gang = l.names[2], []int{8, 16, 24, 32}[random.IntN(4)]
+		s.Kind, s.Gang = l.kinds[2], []int{8, 16, 24, 32}[random.IntN(4)]
 		length = time.Duration(1500+random.IntN(2500)) * time.Millisecond
 	}
 	s.DeclaredSeconds = length.Seconds() * []float64{0.1, 1, 10}[random.IntN(3)]
@@ -103,44 +104,45 @@
 	return s
 }
 
-// settle sends a request and asks until its outcome is final, and keeps what the caller was told.
+// settle sends a request, asks until its outcome is final and records the reply.
 func (l *load) settle(ctx context.Context, client *caller.Client, id request.Identity, s request.Submission) {
 	t := &judge.Told{Identity: id, Submission: s}
 	l.mu.Lock()
-	l.told = append(l.told, t)
+	l.exchanges = append(l.exchanges, t)
 	l.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, askSeconds*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, outcomeSeconds*time.Second)
 	defer cancel()
-	reply, err := client.Settle(ctx, id.ID, s, callWait)
+	reply, err := client.Settle(ctx, id.ID, s, callTimeout)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.errs[id] = err
+		l.lastErrors[id] = err
 		return
 	}
 	t.Replies = append(t.Replies, reply)
 }
 
-// reclaim lets an operator claim a workspace's guarantee and the workspace's caller use all of it: block by block.
+// reclaim sends an operator's command to reclaim a workspace's guarantee. Then the workspace's caller submits one
+// gang for each block of the guarantee.
 func (l *load) reclaim(ctx context.Context) {
 	w := l.demo.config.Workspaces[1]
 	c := l.demo.config.Callers[1]
 	body, _ := json.Marshal(struct { // A string always encodes.
 		Command string `json:"command"`
 	}{"reclaim " + w.Name + " for 20s"})
-	within, cancel := context.WithTimeout(ctx, callWait)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := l.demo.operator.Operate(within, http.MethodPost, "/v1/ask", nil, body); err != nil {
-		l.demo.say("the reclaim was refused: %v", err)
-		l.refused++
+	if _, err := l.demo.operator.Operate(callCtx, http.MethodPost, "/v1/ask", nil, body); err != nil {
+		l.demo.printf("the reclaim was refused: %v", err)
+		l.notReclaimed++
 		return
 	}
-	l.demo.say("workspace %s reclaims its %d accelerators", w.Name, w.Guaranteed())
+	l.demo.printf("workspace %s reclaims its %d accelerators", w.Name, w.Guaranteed())
 	client := l.demo.client(c.Name)
 	random := rand.New(rand.NewPCG(l.demo.Seed, 999))
 	for i := range w.Blocks {
 		s := request.Submission{
-			Kind: l.names[2], Workspace: w.Name, Gang: w.BlockAccelerators, Shape: contract.Shape{CPUs: 4, MemoryGB: 16, Accelerators: 1},
+			Kind: l.kinds[2], Workspace: w.Name, Gang: w.BlockAccelerators, Shape: contract.Shape{CPUs: 4, MemoryGB: 16, Accelerators: 1},
 			DeclaredSeconds: 2, Payload: payload(random, 1500*time.Millisecond),
 		}
 		id := request.Identity{Caller: c.Name, ID: fmt.Sprintf("claim%d", i)}
@@ -148,21 +150,21 @@
 	}
 }
 
-// claimBlock runs one block of a reclaimed guarantee and counts whether it came back within the bound.
+// claimBlock submits a gang for one block of a reclaimed guarantee and counts whether it ran within ReclaimSeconds.
 func (l *load) claimBlock(ctx context.Context, client *caller.Client, id request.Identity, s request.Submission) {
-	asked := time.Now()
+	submittedAt := time.Now()
 	l.settle(ctx, client, id, s)
 	began, ran := l.firstRun(id)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if ran && began.Sub(asked) <= time.Duration(l.demo.config.ReclaimSeconds)*time.Second {
+	if ran && began.Sub(submittedAt) <= time.Duration(l.demo.config.ReclaimSeconds)*time.Second {
 		l.reclaimed++
 		return
 	}
-	l.refused++
+	l.notReclaimed++
 }
 
-// firstRun returns when a request first ran, by the workers' own records.
+// firstRun returns the time at which a request first ran and whether it ran, from the workers' records.
 func (l *load) firstRun(id request.Identity) (time.Time, bool) {
 	for _, r := range l.demo.platform.Workers.Runs() {
 		if r.Identity == id {
@@ -172,39 +174,39 @@
 	return time.Time{}, false
 }
 
-// counts returns the requests so far and those that are settled.
+// counts returns the number of requests so far and of those that are settled.
 func (l *load) counts() (requests, settled int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range l.told {
+	for _, t := range l.exchanges {
 		if t.Settled() {
 			settled++
 		}
 	}
-	return len(l.told), settled
+	return len(l.exchanges), settled
 }
 
-// wait waits until every caller has its outcome, at most for a time.
-func (l *load) wait(most time.Duration) {
+// wait waits until all requests have ended, but at most until the timeout.
+func (l *load) wait(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() { l.group.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
 
-// judge compares what the callers were told with the records of the stand-ins.
+// judge compares the replies that the callers received with the records of the stand-ins.
 func (l *load) judge() *judge.Judgement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	j := judge.Judge(l.told, l.demo.platform.Records())
+	j := judge.Judge(l.exchanges, l.demo.platform.Records())
 	j.CutInFlight = l.demo.balancer.Cut()
-	j.GuaranteesReclaimed, j.GuaranteesRefused = l.reclaimed, l.refused
-	for _, t := range l.told {
+	j.GuaranteesReclaimed, j.GuaranteesRefused = l.reclaimed, l.notReclaimed
+	for _, t := range l.exchanges {
 		if !t.Settled() {
-			l.demo.say("open: %s gang %d once %t: %s %v", t.Identity, t.Submission.Gang, t.Submission.AtMostOnce, t.Last().Reason, l.errs[t.Identity])
-			l.demo.fleet.explain(l.demo, t.Identity.String())
+			l.demo.printf("open: %s gang %d once %t: %s %v", t.Identity, t.Submission.Gang, t.Submission.AtMostOnce, t.Last().Reason, l.lastErrors[t.Identity])
+			l.demo.fleet.printJob(l.demo, t.Identity.String())
 		}
 	}
 	return j
--- a/internal/standin/balancer.go
+++ b/internal/standin/balancer.go
@@ -10,32 +10,32 @@
 	"github.com/pulleyring/pulleyring/internal/interval"
 )
 
-// Balancer is the platform's balancer before the boxes: an http.RoundTripper that sends each request to the next box
-// that says it is ready. It looks at each box every Interval.
+// Balancer is the load balancer in front of the boxes: an http.RoundTripper that sends requests round robin to the
+// boxes that report ready. It checks each box every Interval.
 type Balancer struct {
 	HTTP     http.RoundTripper
 	Interval time.Duration
 
 	mu    sync.Mutex
-	boxes []*balanced
+	boxes []*balancedBox
 	next  int
 	cut   int
 }
 
-type balanced struct {
+type balancedBox struct {
 	address string // IP:port.
 	ready   bool
-	planned bool // A planned stop has begun.
+	planned bool // Its planned stop has begun.
 }
 
 // Add puts a box behind the balancer.
 func (b *Balancer) Add(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.boxes = append(b.boxes, &balanced{address: address, ready: true})
+	b.boxes = append(b.boxes, &balancedBox{address: address, ready: true})
 }
 
-// Planned notes that the box is being stopped as planned; requests that break off there from now on count as cut.
+// Planned records that a box's planned stop has begun. Requests to it that fail from now on are counted, see Cut.
 func (b *Balancer) Planned(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,31 +46,31 @@
 	}
 }
 
-// Cut returns the number of requests that broke off at boxes that were being stopped as planned.
+// Cut returns the number of requests that failed at boxes during their planned stop.
 func (b *Balancer) Cut() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.cut
 }
 
-// Run looks at the boxes until ctx ends.
+// Run checks every Interval which boxes are ready, until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
-	interval.Every(ctx, b.Interval, b.look)
+	interval.Every(ctx, b.Interval, b.checkBoxes)
 }
 
-func (b *Balancer) look(ctx context.Context) {
+func (b *Balancer) checkBoxes(ctx context.Context) {
 	b.mu.Lock()
-	boxes := append([]*balanced(nil), b.boxes...)
+	boxes := append([]*balancedBox(nil), b.boxes...)
 	b.mu.Unlock()
 	for _, x := range boxes {
-		ready := b.ready(ctx, x.address)
+		ready := b.isReady(ctx, x.address)
 		b.mu.Lock()
 		x.ready = ready
 		b.mu.Unlock()
 	}
 }
 
-func (b *Balancer) ready(ctx context.Context, address string) bool {
+func (b *Balancer) isReady(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, b.Interval)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/ready", nil)
@@ -104,7 +104,7 @@
 	return resp, err
 }
 
-func (b *Balancer) pick() *balanced {
+func (b *Balancer) pick() *balancedBox {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for range b.boxes {
--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -13,30 +13,30 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// Sizes of an executor.
+// Limits of one executor.
 const (
-	executorSlots       = 8
-	executorConnections = 60
+	executorSlots       = 8  // Calls that run at once.
+	executorConnections = 60 // Calls that run or wait.
 )
 
-// Executors are the executors of a site.
+// Executors implements the executors of a site in memory.
 type Executors struct {
-	Faults *FaultBox
+	Faults *FaultInjector
 
 	mu        sync.Mutex
 	executors map[string]*executor
-	runs      []Served
+	runs      []ServedCall
 	stats     ExecutorStats
 }
 
-// ExecutorStats counts what the executors were asked.
+// ExecutorStats counts the calls to all executors.
 type ExecutorStats struct {
 	Calls   int64 `json:"calls"`
-	Refused int64 `json:"refused"` // Over the connections, or by fault.
+	Refused int64 `json:"refused"` // Calls refused because of the connection limit, a repeated attempt or a fault.
 }
 
-// Served is one call that an executor really ran.
-type Served struct {
+// ServedCall records one call that an executor ran.
+type ServedCall struct {
 	Identity request.Identity `json:"identity"`
 	Attempt  string           `json:"attempt"`
 	Upstream string           `json:"upstream"`
@@ -44,11 +44,11 @@
 }
 
 type executor struct {
-	mu       sync.Mutex
-	slots    chan struct{}
-	open     int
-	attempts map[string]*call
-	since    time.Time // From when on it knows all its calls; zero from ever.
+	mu           sync.Mutex
+	slots        chan struct{}
+	open         int
+	attempts     map[string]*call
+	recordsSince time.Time // It has records of all calls from this time on; zero if it never lost any.
 }
 
 type call struct {
@@ -84,14 +84,14 @@
 }
 
 func (s *Executors) serve(ctx context.Context, u contract.Upstream, c upstream.Call, e *executor, faults Faults) (upstream.Answer, error) {
-	s.record(Served{Identity: c.Identity, Attempt: c.Attempt, Upstream: u.Name, Began: time.Now()})
-	var body work
-	_ = json.Unmarshal(c.Payload, &body) // A payload of another form is work of no length.
+	s.record(ServedCall{Identity: c.Identity, Attempt: c.Attempt, Upstream: u.Name, Began: time.Now()})
+	var body taskPayload
+	_ = json.Unmarshal(c.Payload, &body) // A payload of another form means a run time of 0.
 	length := time.Duration(body.WorkMS) * time.Millisecond
 	if slices.Contains(faults.SlowUpstreams, u.Name) {
 		length += time.Duration(faults.SlowUpstreamMS) * time.Millisecond
 	}
-	_ = pause(context.WithoutCancel(ctx), length) // The work goes on when the caller has left.
+	_ = pause(context.WithoutCancel(ctx), length) // The work continues if the caller disconnects.
 	raw, _ := json.Marshal(Answer{Caller: c.Identity.Caller, ID: c.Identity.ID, Sum: Sum(c.Payload)})
 	answer := upstream.Answer{Attempt: c.Attempt, Identity: c.Identity, Body: raw}
 	e.set(c.Attempt, upstream.Ran, answer)
@@ -99,18 +99,19 @@
 		return upstream.Answer{}, errors.Wrap(upstream.ErrFailed, "the work failed")
 	}
 	if slices.Contains(faults.BreakUpstreams, u.Name) {
-		return upstream.Answer{}, errLost
+		return upstream.Answer{}, errAnswerLost
 	}
 	return answer, ctx.Err()
 }
 
-// Blank takes from an executor the trace of all its calls, as where its process is replaced behind the same address. What runs goes on.
+// Blank makes an executor lose the records of all its calls, as when its process is replaced behind the same address.
+// Running calls continue.
 func (s *Executors) Blank(name string) {
 	e := s.executor(name)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.attempts = map[string]*call{}
-	e.since = time.Now()
+	e.recordsSince = time.Now()
 }
 
 // Fence implements upstream.Service.
@@ -123,7 +124,7 @@
 	defer e.mu.Unlock()
 	c := e.attempts[attempt]
 	if c == nil || c.fate == "" {
-		known := c != nil || time.Since(e.since) > age
+		known := c != nil || time.Since(e.recordsSince) > age
 		c = &call{fate: upstream.Never}
 		e.attempts[attempt] = c
 		if !known {
@@ -133,8 +134,8 @@
 	return c.fate, c.answer, nil
 }
 
-// Runs returns every call that was run.
-func (s *Executors) Runs() []Served {
+// Runs returns the records of all calls that were run.
+func (s *Executors) Runs() []ServedCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.runs)
@@ -156,7 +157,7 @@
 	}
 }
 
-func (s *Executors) record(served Served) {
+func (s *Executors) record(served ServedCall) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, served)
@@ -176,10 +177,11 @@
 	return e
 }
 
-// errRepeated is told for a call that was sent before, which may run.
-var errRepeated = errors.New("standin: the call is known already")
+// errRepeatedCall is the error of a call whose attempt was sent before and may have run.
+var errRepeatedCall = errors.New("standin: the call is known already")
 
-// enter takes a connection; an attempt that is known already is not taken again.
+// enter takes a connection for an attempt. It refuses an attempt that was sent or fenced before, and every call over
+// the connection limit.
 func (e *executor) enter(attempt string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -187,7 +189,7 @@
 	case c != nil && c.fate == upstream.Never:
 		return errors.Wrap(upstream.ErrNotRun, "stopped before")
 	case c != nil:
-		return errRepeated
+		return errRepeatedCall
 	case e.open >= executorConnections:
 		return errors.Wrap(upstream.ErrNotRun, "full")
 	}
@@ -202,7 +204,7 @@
 	e.open--
 }
 
-// begin lets an attempt run unless it was forbidden meanwhile.
+// begin marks an attempt as running and reports whether it may run: not if it was fenced meanwhile.
 func (e *executor) begin(attempt string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,9 +12,9 @@
 	"github.com/pulleyring/pulleyring/internal/object"
 )
 
-// Objects is the platform's object store in memory.
+// Objects implements the platform's object store in memory.
 type Objects struct {
-	Faults *FaultBox
+	Faults *FaultInjector
 
 	mu      sync.Mutex
 	objects map[string][]byte
@@ -48,28 +48,28 @@
 	return raw, nil
 }
 
-// LiveList is the platform's list of live and leaving boxes; it lags.
+// LiveList implements the platform's list of live and leaving boxes. Readers see it with a delay of Lag.
 type LiveList struct {
-	Lag    time.Duration // Age of what readers see.
-	Expire time.Duration // Silence after which a box is dropped; 0 means ten seconds.
+	Lag    time.Duration // Age of the list that readers see.
+	Expire time.Duration // Time without an announcement after which a box is removed; 0 means 10 s.
 
 	mu      sync.Mutex
-	history []listing
-	boxes   map[string]registered
+	history []listSnapshot
+	boxes   map[string]announcement
 }
 
-// listing is the list as it stood from an instant on.
-type listing struct {
+// listSnapshot is the content of the list from one time until the next snapshot.
+type listSnapshot struct {
 	from  time.Time
 	boxes []member.Entry
 }
 
-type registered struct {
+type announcement struct {
 	member.Entry
 	at time.Time
 }
 
-// defaultExpire is the silence after which a box is dropped from the list.
+// defaultExpire is the time without an announcement after which a box is removed from the list.
 const defaultExpire = 10 * time.Second
 
 // Announce implements member.List.
@@ -77,15 +77,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.boxes == nil {
-		l.boxes = map[string]registered{}
+		l.boxes = map[string]announcement{}
 	}
-	l.boxes[entry.Name] = registered{entry, time.Now()}
-	l.snapshot()
+	l.boxes[entry.Name] = announcement{entry, time.Now()}
+	l.recordSnapshot()
 	return nil
 }
 
-// snapshot adds the present list to the history and drops what no reader can see any more.
-func (l *LiveList) snapshot() {
+// recordSnapshot removes expired boxes, adds the current list to the history and removes snapshots older than any
+// reader sees.
+func (l *LiveList) recordSnapshot() {
 	now := time.Now()
 	expire := l.Expire
 	if expire == 0 {
@@ -100,7 +101,7 @@
 		boxes = append(boxes, r.Entry)
 	}
 	slices.SortFunc(boxes, func(a, b member.Entry) int { return strings.Compare(a.Name, b.Name) })
-	l.history = append(l.history, listing{now, boxes})
+	l.history = append(l.history, listSnapshot{now, boxes})
 	for len(l.history) > 1 && !l.history[1].from.After(now.Add(-l.Lag)) {
 		l.history = l.history[1:]
 	}
@@ -110,7 +111,7 @@
 func (l *LiveList) Boxes(_ context.Context) ([]member.Entry, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.snapshot()
+	l.recordSnapshot()
 	seen := time.Now().Add(-l.Lag)
 	var boxes []member.Entry
 	for _, h := range l.history {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -20,9 +20,9 @@
 	"golang.org/x/time/rate"
 )
 
-// Platform is all stand-ins of a site behind one HTTP handler.
+// Platform serves all stand-ins of a site through one HTTP handler.
 type Platform struct {
-	Faults    *FaultBox
+	Faults    *FaultInjector
 	Table     *Table
 	Objects   *Objects
 	LiveList  *LiveList
@@ -30,9 +30,9 @@
 	Executors *Executors
 }
 
-// NewPlatform returns stand-ins that share their faults. Limits of 0 mean no limit.
+// NewPlatform returns stand-ins that share one set of faults. A rate limit of 0 means no limit.
 func NewPlatform(seed uint64, writesPerSecond, readsPerSecond int, listLag time.Duration) *Platform {
-	faults := NewFaultBox(seed)
+	faults := NewFaultInjector(seed)
 	p := &Platform{
 		Faults: faults, Table: NewTable(faults), Objects: &Objects{Faults: faults}, LiveList: &LiveList{Lag: listLag},
 		Workers: &Workers{Faults: faults}, Executors: &Executors{Faults: faults},
@@ -49,7 +49,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// maxBodyBytes bounds what a stand-in reads of one request.
+// maxBodyBytes is the maximum size of a request body in bytes; the rest is not read.
 const maxBodyBytes = 64 << 20
 
 // Handler returns the routes of all stand-ins.
@@ -73,7 +73,7 @@
 	return r
 }
 
-// decode reads a JSON body, or answers that it can't be read.
+// decode decodes a JSON body and reports whether that worked; if not, it answers with status 400.
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
@@ -82,8 +82,9 @@
 	return err == nil
 }
 
-// abort breaks the connection off, so that the other side can't know what happened.
-func abort() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without an answer, so that the client can't know whether the request took
+// effect.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
 func (p *Platform) commit(w http.ResponseWriter, r *http.Request) {
 	var txn table.Txn
@@ -99,7 +100,8 @@
 	}{revision})
 }
 
-// tableError answers an error of the table, in the name of the transaction where there is one, and reports whether there was an error.
+// tableError answers with an error of the table, if any, and reports whether there was one. A refusal contains the
+// transaction's ID txn, if there is one.
 func tableError(w http.ResponseWriter, err error, txn string) bool {
 	var conflict *table.Conflict
 	switch {
@@ -113,7 +115,7 @@
 			Problem string `json:"problem"`
 		}{txn, err.Error()})
 	default:
-		abort()
+		abortConnection()
 	}
 	return true
 }
@@ -172,28 +174,30 @@
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		_, _ = w.Write(raw) // The box is gone where this fails.
+		_, _ = w.Write(raw) // An error means that the box closed the connection.
 	}
 }
 
 func (p *Platform) announce(w http.ResponseWriter, r *http.Request) {
 	var entry link.Entry
 	if decode(w, r, &entry) {
-		_ = p.LiveList.Announce(r.Context(), entry) // The stand-in takes every entry.
+		_ = p.LiveList.Announce(r.Context(), entry) // It never returns an error.
 		wire.Reply(w, http.StatusOK, struct{}{})
 	}
 }
 
 func (p *Platform) boxes(w http.ResponseWriter, r *http.Request) {
-	boxes, _ := p.LiveList.Boxes(r.Context()) // The stand-in always answers.
+	boxes, _ := p.LiveList.Boxes(r.Context()) // It never returns an error.
 	wire.Reply(w, http.StatusOK, struct {
 		Boxes []member.Entry `json:"boxes"`
 	}{boxes})
 }
 
-func named(r *http.Request) contract.Worker { return contract.Worker{Name: chi.URLParam(r, "name")} }
+func workerFromPath(r *http.Request) contract.Worker {
+	return contract.Worker{Name: chi.URLParam(r, "name")}
+}
 
-// workerError answers an error of a worker and reports whether there was one.
+// workerError answers with an error of a worker, if any, and reports whether there was one.
 func workerError(w http.ResponseWriter, err error) bool {
 	switch {
 	case err == nil:
@@ -201,14 +205,14 @@
 	case errors.Is(err, worker.ErrRefused):
 		http.Error(w, err.Error(), http.StatusConflict)
 	default:
-		abort()
+		abortConnection()
 	}
 	return true
 }
 
 func (p *Platform) hold(w http.ResponseWriter, r *http.Request) {
-	var order worker.Order
-	if !decode(w, r, &order) || workerError(w, p.Workers.Hold(r.Context(), named(r), order)) {
+	var command worker.Order
+	if !decode(w, r, &command) || workerError(w, p.Workers.Hold(r.Context(), workerFromPath(r), command)) {
 		return
 	}
 	wire.Reply(w, http.StatusOK, struct{}{})
@@ -219,7 +223,7 @@
 	if !decode(w, r, &renewal) {
 		return
 	}
-	report, err := p.Workers.Renew(r.Context(), named(r), renewal)
+	report, err := p.Workers.Renew(r.Context(), workerFromPath(r), renewal)
 	if !workerError(w, err) {
 		wire.Reply(w, http.StatusOK, report)
 	}
@@ -234,7 +238,7 @@
 		return
 	}
 	lease := time.Duration(body.LeaseMS) * time.Millisecond
-	task, err := p.Workers.Step(r.Context(), named(r), worker.Verb(chi.URLParam(r, "verb")), body.Attempt, lease)
+	task, err := p.Workers.Step(r.Context(), workerFromPath(r), worker.Verb(chi.URLParam(r, "verb")), body.Attempt, lease)
 	if !workerError(w, err) {
 		wire.Reply(w, http.StatusOK, task)
 	}
@@ -250,16 +254,17 @@
 	case err == nil:
 		wire.Reply(w, http.StatusOK, answer)
 	case errors.Is(err, upstream.ErrNotRun):
-		refuse(w, http.StatusServiceUnavailable, call.Attempt, err)
+		replyRefusal(w, http.StatusServiceUnavailable, call.Attempt, err)
 	case errors.Is(err, upstream.ErrFailed):
-		refuse(w, http.StatusInternalServerError, call.Attempt, err)
+		replyRefusal(w, http.StatusInternalServerError, call.Attempt, err)
 	default:
-		abort()
+		abortConnection()
 	}
 }
 
-// refuse answers in the executor's own name, by which a box tells it from a proxy.
-func refuse(w http.ResponseWriter, status int, attempt string, err error) {
+// replyRefusal answers with an error that contains the attempt. A box recognizes by it that the executor answered,
+// not a proxy.
+func replyRefusal(w http.ResponseWriter, status int, attempt string, err error) {
 	wire.Reply(w, status, struct {
 		Attempt string `json:"attempt"`
 		Problem string `json:"problem"`
@@ -277,7 +282,7 @@
 	age := time.Duration(body.AgeMS) * time.Millisecond
 	fate, answer, err := p.Executors.Fence(r.Context(), contract.Upstream{Name: chi.URLParam(r, "name")}, body.Attempt, age)
 	if err != nil {
-		abort()
+		abortConnection()
 	}
 	wire.Reply(w, http.StatusOK, struct {
 		Fate   upstream.Fate   `json:"fate"`
@@ -293,18 +298,18 @@
 	}
 }
 
-// Records are the stand-ins' own records.
+// Records contains what the stand-ins recorded about the work that they ran.
 type Records struct {
-	Runs      []Run         `json:"runs"`   // At workers.
-	Broken    []string      `json:"broken"` // Attempts that lost a worker between go and the begin.
-	Served    []Served      `json:"served"` // At executors.
+	Runs      []Run         `json:"runs"`   // By workers.
+	Broken    []string      `json:"broken"` // Attempts that lost a worker between its go command and their beginning.
+	Served    []ServedCall  `json:"served"` // By executors.
 	Table     TableStats    `json:"table"`
 	Executors ExecutorStats `json:"executors"`
 }
 
-// Records returns the stand-ins' own records.
+// Records returns the current records of all stand-ins.
 func (p *Platform) Records() Records {
-	return Records{Runs: p.Workers.Runs(), Broken: p.Workers.Broken(), Served: p.Executors.Runs(), Table: p.Table.Stats(), Executors: p.Executors.Stats()}
+	return Records{Runs: p.Workers.Runs(), Broken: p.Workers.LostBeforeBegin(), Served: p.Executors.Runs(), Table: p.Table.Stats(), Executors: p.Executors.Stats()}
 }
 
 func (p *Platform) records(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -17,15 +17,15 @@
 // branching is the degree of the tree of rows.
 const branching = 32
 
-// maxTxnRows is the most rows that the table takes in one transaction.
+// maxTxnRows is the maximum number of rows written by one transaction.
 const maxTxnRows = 256
 
-// errLost stands for an answer that never arrives.
-var errLost = errors.New("standin: the answer is lost")
+// errAnswerLost is the error of a call whose answer is lost.
+var errAnswerLost = errors.New("standin: the answer is lost")
 
-// Table is the platform's transactional table service in memory.
+// Table implements the platform's transactional table service in memory.
 type Table struct {
-	Faults *FaultBox
+	Faults *FaultInjector
 	Writes *rate.Limiter // Transactions a second; nil means no limit.
 	Reads  *rate.Limiter // Reads a second; nil means no limit.
 
@@ -35,17 +35,17 @@
 	stats    TableStats
 }
 
-// TableStats counts what the table was asked.
+// TableStats counts the calls to the table.
 type TableStats struct {
 	Txns      int64 `json:"txns"`
 	Rows      int64 `json:"rows"`
 	Reads     int64 `json:"reads"`
 	Conflicts int64 `json:"conflicts"`
-	Refused   int64 `json:"refused"` // Over budget or down.
+	Refused   int64 `json:"refused"` // Calls refused because of a rate limit or an outage.
 }
 
 // NewTable returns an empty table.
-func NewTable(faults *FaultBox) *Table {
+func NewTable(faults *FaultInjector) *Table {
 	less := func(a, b table.Row) bool { return a.Key < b.Key }
 	return &Table{Faults: faults, rows: btree.NewG(branching, less)}
 }
@@ -63,12 +63,12 @@
 	if err := t.admit(ctx, faults, t.Writes); err != nil {
 		return 0, err
 	}
-	if t.Faults.hits(faults.TableDrop) {
-		return 0, errors.Wrap(table.ErrUnknown, errLost.Error())
+	if t.Faults.affects(faults.TableDrop) {
+		return 0, errors.Wrap(table.ErrUnknown, errAnswerLost.Error())
 	}
 	revision, err := t.apply(txn)
-	if err == nil && t.Faults.hits(faults.TableLoseAnswers) {
-		return 0, errors.Wrap(table.ErrUnknown, errLost.Error())
+	if err == nil && t.Faults.affects(faults.TableLoseAnswers) {
+		return 0, errors.Wrap(table.ErrUnknown, errAnswerLost.Error())
 	}
 	return revision, err
 }
@@ -111,7 +111,7 @@
 	return t.revision, nil
 }
 
-// version returns the version that a check sees: 0 for an absent or deleted row.
+// version returns the version of a row that a transaction's check compares with: 0 for an absent or deleted row.
 func (t *Table) version(key string) int64 {
 	row, ok := t.rows.Get(table.Row{Key: key})
 	if !ok || row.Deleted {
@@ -166,11 +166,12 @@
 	if len(rows) <= limit {
 		return rows, t.revision, nil
 	}
-	return cutBetweenRevisions(rows, limit)
+	return truncateAtRevision(rows, limit)
 }
 
-// cutBetweenRevisions keeps about limit rows without dividing the rows of one transaction.
-func cutBetweenRevisions(rows []table.Row, limit int) ([]table.Row, int64, error) {
+// truncateAtRevision truncates rows, sorted by version, to limit rows. It keeps more if limit would split the rows of
+// one transaction. It also returns the version of the last row.
+func truncateAtRevision(rows []table.Row, limit int) ([]table.Row, int64, error) {
 	end := limit
 	for end < len(rows) && rows[end].Version == rows[end-1].Version {
 		end++
--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -9,23 +9,23 @@
 
 type task struct {
 	worker.Order
-	state  worker.State
-	lease  time.Time
-	began  time.Time
-	needs  time.Duration // Run time from began.
-	fails  bool
-	crash  bool
-	paused bool // After a checkpoint, until the stop.
-	saved  float64
-	run    *Run
-	answer json.RawMessage
+	state             worker.State
+	leaseEnd          time.Time
+	began             time.Time
+	runTime           time.Duration // Run time, counted from began.
+	willFail          bool
+	willCrash         bool
+	paused            bool // Set by a checkpoint: the task doesn't finish, but waits for its stop.
+	checkpointSeconds float64
+	run               *Run
+	answer            json.RawMessage
 }
 
-// begin lets a task run and writes it into the worker's own records.
-func (g *guarded) begin(t *task) {
+// begin sets a task running and adds a record of the run.
+func (ws *workerState) begin(t *task) {
 	t.state = worker.Running
-	t.run = &Run{Identity: t.Identity, Attempt: t.Attempt, Number: t.Number, Worker: g.name, Members: t.Members, Gang: t.Gang, Began: t.began, State: worker.Running, From: t.From}
-	g.runs = append(g.runs, t.run)
+	t.run = &Run{Identity: t.Identity, Attempt: t.Attempt, Number: t.Number, Worker: ws.name, Members: t.Members, Gang: t.Gang, Began: t.began, State: worker.Running, From: t.From}
+	ws.runs = append(ws.runs, t.run)
 }
 
 func (t *task) end(state worker.State, at time.Time) {
@@ -38,7 +38,7 @@
 }
 
 func (t *task) report(now time.Time) worker.Task {
-	r := worker.Task{Attempt: t.Attempt, State: t.state, Answer: t.answer, Checkpointed: t.saved}
+	r := worker.Task{Attempt: t.Attempt, State: t.state, Answer: t.answer, Checkpointed: t.checkpointSeconds}
 	if t.run != nil {
 		end := t.run.Ended
 		if end.IsZero() {
@@ -52,30 +52,30 @@
 	return r
 }
 
-// advance brings every task to the present: what finished, what failed, what crashed the worker and whose lease lapsed.
-func (g *guarded) advance(now time.Time) {
-	if at, crashed := g.crashed(now); crashed {
-		g.advanceTo(at)
-		g.crash(at)
+// advance updates all tasks to now: it applies their beginnings, ends, expired leases and a crash of the worker.
+func (ws *workerState) advance(now time.Time) {
+	if at, crashed := ws.crashed(now); crashed {
+		ws.advanceTo(at)
+		ws.crash(at)
 	}
-	g.advanceTo(now)
+	ws.advanceTo(now)
 }
 
-func (g *guarded) advanceTo(now time.Time) {
-	for _, t := range g.tasks {
-		g.advanceTask(t, now)
+func (ws *workerState) advanceTo(now time.Time) {
+	for _, t := range ws.tasks {
+		ws.advanceTask(t, now)
 	}
-	for _, t := range g.hidden {
-		g.advanceTask(t, now)
+	for _, t := range ws.unrecorded {
+		ws.advanceTask(t, now)
 	}
 }
 
-// crashed returns when a task first crashed the worker, if one has by now.
-func (g *guarded) crashed(now time.Time) (at time.Time, crashed bool) {
-	for _, t := range g.tasks {
-		end := t.began.Add(t.needs)
+// crashed returns the time at which a task first crashed the worker, and whether that has happened by now.
+func (ws *workerState) crashed(now time.Time) (at time.Time, crashed bool) {
+	for _, t := range ws.tasks {
+		end := t.began.Add(t.runTime)
 		began := t.state == worker.Going || t.state == worker.Running
-		if !t.crash || !began || end.After(now) || end.After(t.lease) {
+		if !t.willCrash || !began || end.After(now) || end.After(t.leaseEnd) {
 			continue
 		}
 		if !crashed || end.Before(at) {
@@ -85,32 +85,32 @@
 	return at, crashed
 }
 
-// crash ends all that runs and takes the trace of it from the worker, which is back at once.
-func (g *guarded) crash(at time.Time) {
-	for attempt, t := range g.tasks {
+// crash stops all running tasks and removes the records of all tasks. The worker restarts at once, with a new clock.
+func (ws *workerState) crash(at time.Time) {
+	for attempt, t := range ws.tasks {
 		switch t.state {
 		case worker.Running:
 			t.end(worker.Stopped, at)
 		case worker.Going:
-			g.broken = append(g.broken, attempt)
+			ws.lostBeforeBegin = append(ws.lostBeforeBegin, attempt)
 		}
-		if t.crash && t.run != nil {
+		if t.willCrash && t.run != nil {
 			t.run.State = worker.Stopped
 		}
 	}
-	clear(g.tasks)
-	g.begun = at
+	clear(ws.tasks)
+	ws.startedAt = at
 }
 
-func (g *guarded) advanceTask(t *task, now time.Time) {
+func (ws *workerState) advanceTask(t *task, now time.Time) {
 	switch t.state {
 	case worker.Held, worker.Armed:
-		if !t.lease.After(now) {
+		if !t.leaseEnd.After(now) {
 			t.state = worker.Refused
 		}
 	case worker.Going:
 		if !t.began.After(now) {
-			g.begin(t)
+			ws.begin(t)
 			t.advance(now)
 		}
 	case worker.Running:
@@ -119,33 +119,34 @@
 }
 
 func (t *task) advance(now time.Time) {
-	done := t.began.Add(t.needs)
+	done := t.began.Add(t.runTime)
 	switch {
-	case !t.paused && !done.After(now) && !done.After(t.lease):
+	case !t.paused && !done.After(now) && !done.After(t.leaseEnd):
 		state := worker.Finished
-		if t.fails {
+		if t.willFail {
 			state = worker.Failed
 		}
 		t.end(state, done)
-	case !t.lease.After(now):
-		t.end(worker.Stopped, t.lease)
+	case !t.leaseEnd.After(now):
+		t.end(worker.Stopped, t.leaseEnd)
 	}
 }
 
-// clock is the worker's own clock in milliseconds.
-func (g *guarded) clock(now time.Time) int64 { return 1 + now.Sub(g.begun).Milliseconds() }
+// clock returns the reading of the worker's clock in milliseconds; it starts at 1.
+func (ws *workerState) clock(now time.Time) int64 { return 1 + now.Sub(ws.startedAt).Milliseconds() }
 
-// instant is when the worker's own clock stood so; zero where the box had no reading of it, or one of an earlier life, which the clock has not reached yet.
-func (g *guarded) instant(clock int64, now time.Time) time.Time {
-	if clock == 0 || clock > g.clock(now) {
+// timeOfReading returns the time at which the worker's clock had a reading. It returns the zero time for a missing
+// reading (0), and for one that is ahead of the clock because it comes from an earlier incarnation.
+func (ws *workerState) timeOfReading(clock int64, now time.Time) time.Time {
+	if clock == 0 || clock > ws.clock(now) {
 		return time.Time{}
 	}
-	return g.begun.Add(time.Duration(clock-1) * time.Millisecond)
+	return ws.startedAt.Add(time.Duration(clock-1) * time.Millisecond)
 }
 
-// extend lets a lease last for so long from an instant on; it never shortens it.
+// extend extends a lease to ms milliseconds after from; it never shortens the lease.
 func (t *task) extend(from time.Time, ms int64) {
-	if end := from.Add(time.Duration(ms) * time.Millisecond); end.After(t.lease) {
-		t.lease = end
+	if end := from.Add(time.Duration(ms) * time.Millisecond); end.After(t.leaseEnd) {
+		t.leaseEnd = end
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -14,25 +14,28 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// work is what the stand-ins read of a payload.
-type work struct {
+// taskPayload is the part of a request's payload that the stand-ins read.
+type taskPayload struct {
 	WorkMS int64 `json:"work_ms"`
-	Fail   bool  `json:"fail"`  // Fails wherever it runs.
-	Crash  bool  `json:"crash"` // Ends the process of each worker that runs it, with all that runs there and what it knew: at the end of its work, or soon if it has none.
+	Fail   bool  `json:"fail"` // Fails wherever it runs.
+	// Crash crashes each worker that runs it, at the end of WorkMS, or after failAfter if WorkMS is 0. All tasks on the
+	// worker end and their records are lost.
+	Crash bool `json:"crash"`
 }
 
-// Answer is what a stand-in answers: enough for the caller to see that the answer is its own and whole.
+// Answer is a stand-in's answer to a request. It lets the caller check that the answer is complete and belongs to its
+// request.
 type Answer struct {
 	Caller  string `json:"caller"`
 	ID      string `json:"id"`
 	Members []int  `json:"members,omitempty"`
-	Sum     uint64 `json:"sum"` // Of the payload.
+	Sum     uint64 `json:"sum"` // Checksum of the payload, see Sum.
 }
 
-// Sum returns the sum of a payload that answers carry.
+// Sum returns the checksum of a payload that an Answer contains.
 func Sum(payload json.RawMessage) uint64 { return xxhash.Sum64(payload) }
 
-// Run is one part of a gang that really ran, from the workers' own records.
+// Run records that a worker ran its part of a gang; the stand-in worker writes it.
 type Run struct {
 	Identity request.Identity `json:"identity"`
 	Attempt  string           `json:"attempt"`
@@ -43,111 +46,112 @@
 	Began    time.Time        `json:"began"`
 	Ended    time.Time        `json:"ended,omitzero"`
 	State    worker.State     `json:"state"`
-	From     float64          `json:"from"` // Seconds of work in the checkpoint that it went on from.
+	From     float64          `json:"from"` // Seconds of work in the checkpoint that it resumed from.
 }
 
-// Workers are the guarded workers of a site.
+// Workers implements all workers of a site in memory.
 type Workers struct {
-	Faults *FaultBox
-	// Lax takes safety rules away from the workers, to show that tests notice.
+	Faults *FaultInjector
+	// Lax disables safety checks of the workers, to verify that tests detect the violations.
 	Lax Laxity
 
 	mu      sync.Mutex
-	workers map[string]*guarded
+	workers map[string]*workerState
 }
 
-// Laxity names safety rules of the workers that can be taken away.
+// Laxity selects safety checks of the workers to disable.
 type Laxity struct {
-	LapsedHolds bool // An attempt starts although its hold has lapsed.
-	ForgetStops bool // A stopped attempt that never ran starts all the same.
+	LapsedHolds bool // An attempt may start after its hold has expired.
+	ForgetStops bool // An attempt may start after it was stopped.
 }
 
-// guarded is one worker: its tasks, which devices they hold and which attempts must never run.
-type guarded struct {
-	mu     sync.Mutex
-	name   string
-	begun  time.Time // Its own clock counts from here, anew with each life.
-	tasks  map[string]*task
-	hidden []*task // Tasks that run on although the worker has no trace of them any more.
-	fenced map[string]bool
-	runs   []*Run
-	broken []string // Attempts whose trace was lost after go and before the begin.
-	twice  int      // Devices that were asked for while another held them.
+// workerState is the state of one worker: its tasks, the devices they hold and the attempts that must never run.
+type workerState struct {
+	mu              sync.Mutex
+	name            string
+	startedAt       time.Time // The worker's clock counts from here; a new incarnation resets it.
+	tasks           map[string]*task
+	unrecorded      []*task // Tasks that still run, but whose records the worker has lost.
+	fenced          map[string]bool
+	runs            []*Run
+	lostBeforeBegin []string // Attempts whose record was lost after the go command and before they began.
+	deviceConflicts int      // Holds refused because another task held one of the devices.
 }
 
-// failAfter is the run time after which a failing task fails, or crashes its worker where it is not told when.
+// failAfter is the run time after which a failing task fails, or a task that crashes its worker does so if its
+// payload names no run time.
 const failAfter = 20 * time.Millisecond
 
 // Hold implements worker.Service.
-func (s *Workers) Hold(ctx context.Context, w contract.Worker, order worker.Order) error {
-	g, err := s.reach(ctx, w.Name)
+func (s *Workers) Hold(ctx context.Context, w contract.Worker, command worker.Order) error {
+	ws, err := s.reachable(ctx, w.Name)
 	if err != nil {
 		return err
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.advance(time.Now())
-	if g.fenced[order.Attempt] {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	ws.advance(time.Now())
+	if ws.fenced[command.Attempt] {
 		return errors.Wrap(worker.ErrRefused, "stopped before")
 	}
-	if t := g.tasks[order.Attempt]; t != nil {
-		return nil // Asked again.
+	if t := ws.tasks[command.Attempt]; t != nil {
+		return nil // A repeated command.
 	}
-	for _, t := range g.tasks {
-		if t.state.Live() && slices.ContainsFunc(t.Devices, func(d int) bool { return slices.Contains(order.Devices, d) }) {
-			g.twice++
+	for _, t := range ws.tasks {
+		if t.state.Live() && slices.ContainsFunc(t.Devices, func(d int) bool { return slices.Contains(command.Devices, d) }) {
+			ws.deviceConflicts++
 			return errors.Wrap(worker.ErrRefused, "devices are held")
 		}
 	}
-	g.tasks[order.Attempt] = &task{Order: order, state: worker.Held, lease: until(order.LeaseMS)}
+	ws.tasks[command.Attempt] = &task{Order: command, state: worker.Held, leaseEnd: leaseEndAfter(command.LeaseMS)}
 	return nil
 }
 
-func until(ms int64) time.Time { return time.Now().Add(time.Duration(ms) * time.Millisecond) }
+func leaseEndAfter(ms int64) time.Time { return time.Now().Add(time.Duration(ms) * time.Millisecond) }
 
 // Step implements worker.Service.
 func (s *Workers) Step(ctx context.Context, w contract.Worker, verb worker.Verb, attempt string, lease time.Duration) (worker.Task, error) {
-	g, err := s.reach(ctx, w.Name)
+	ws, err := s.reachable(ctx, w.Name)
 	if err != nil {
 		return worker.Task{}, err
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	now := time.Now()
-	g.advance(now)
-	t := g.tasks[attempt]
+	ws.advance(now)
+	t := ws.tasks[attempt]
 	if verb == worker.Stop {
-		return g.stop(attempt, t, now), nil
+		return ws.stop(attempt, t, now), nil
 	}
 	if t == nil {
 		return worker.Task{}, errors.Wrap(worker.ErrRefused, "unknown attempt")
 	}
-	if !s.step(g, t, verb, lease, now) {
+	if !s.step(ws, t, verb, lease, now) {
 		return t.report(now), errors.Wrapf(worker.ErrRefused, "can't %s what is %s", verb, t.state)
 	}
 	return t.report(now), nil
 }
 
-func (s *Workers) step(g *guarded, t *task, verb worker.Verb, lease time.Duration, now time.Time) bool {
+func (s *Workers) step(ws *workerState, t *task, verb worker.Verb, lease time.Duration, now time.Time) bool {
 	switch verb {
 	case worker.Arm:
-		s.revive(g, t, now)
+		s.rearmIfUnchecked(ws, t, now)
 		if t.state != worker.Held {
 			return t.state == worker.Armed || t.state == worker.Going || t.state == worker.Running
 		}
 		t.state = worker.Armed
 	case worker.Go:
-		s.revive(g, t, now)
+		s.rearmIfUnchecked(ws, t, now)
 		if t.state != worker.Armed {
 			return t.state == worker.Going || t.state == worker.Running || t.state == worker.Finished || t.state == worker.Failed
 		}
-		s.ready(g, t)
+		s.setRunTime(ws, t)
 		t.state = worker.Going
 		t.began = now.Add(worker.BeginDelay)
-		t.lease = now.Add(lease)
+		t.leaseEnd = now.Add(lease)
 	case worker.Checkpoint:
 		if t.state == worker.Running && !t.paused {
-			t.saved = t.From + now.Sub(t.began).Seconds()
+			t.checkpointSeconds = t.From + now.Sub(t.began).Seconds()
 			t.paused = true
 		}
 		return t.state == worker.Running
@@ -157,33 +161,34 @@
 	return true
 }
 
-// revive brings a refused task back where a rule is taken away.
-func (s *Workers) revive(g *guarded, t *task, now time.Time) {
+// rearmIfUnchecked arms a refused task again if the check that refused it is disabled.
+func (s *Workers) rearmIfUnchecked(ws *workerState, t *task, now time.Time) {
 	if t.state != worker.Refused {
 		return
 	}
-	stopped := g.fenced[t.Attempt]
+	stopped := ws.fenced[t.Attempt]
 	if stopped && s.Lax.ForgetStops || !stopped && s.Lax.LapsedHolds {
 		t.state = worker.Armed
-		t.lease = now.Add(time.Hour)
+		t.leaseEnd = now.Add(time.Hour)
 	}
 }
 
-// ready works out how long a task will run and whether it will fail.
-func (s *Workers) ready(g *guarded, t *task) {
-	var body work
-	_ = json.Unmarshal(t.Payload, &body) // A payload of another form is work of no length.
-	t.needs = time.Duration(body.WorkMS)*time.Millisecond - time.Duration(t.From*float64(time.Second))
-	t.fails = body.Fail || slices.Contains(s.Faults.Get().FailWorkers, g.name)
-	t.crash = body.Crash
-	if t.fails || t.crash && body.WorkMS == 0 {
-		t.needs = failAfter
+// setRunTime sets a task's run time and whether it will fail or crash its worker.
+func (s *Workers) setRunTime(ws *workerState, t *task) {
+	var body taskPayload
+	_ = json.Unmarshal(t.Payload, &body) // A payload of another form means a run time of 0.
+	t.runTime = time.Duration(body.WorkMS)*time.Millisecond - time.Duration(t.From*float64(time.Second))
+	t.willFail = body.Fail || slices.Contains(s.Faults.Get().FailWorkers, ws.name)
+	t.willCrash = body.Crash
+	if t.willFail || t.willCrash && body.WorkMS == 0 {
+		t.runTime = failAfter
 	}
 }
 
-// stop ends a task for good; an attempt that is not known here is refused from now on.
-func (g *guarded) stop(attempt string, t *task, now time.Time) worker.Task {
-	g.fenced[attempt] = true
+// stop ends a task and fences its attempt, so that the attempt never starts later, even if the worker doesn't know it
+// yet.
+func (ws *workerState) stop(attempt string, t *task, now time.Time) worker.Task {
+	ws.fenced[attempt] = true
 	if t == nil {
 		return worker.Task{Attempt: attempt, State: worker.Unknown}
 	}
@@ -198,27 +203,27 @@
 
 // Renew implements worker.Service.
 func (s *Workers) Renew(ctx context.Context, w contract.Worker, renewal worker.Renewal) (worker.Report, error) {
-	g, err := s.reach(ctx, w.Name)
+	ws, err := s.reachable(ctx, w.Name)
 	if err != nil {
 		return worker.Report{}, err
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	now := time.Now()
-	g.advance(now)
+	ws.advance(now)
 	for _, attempt := range renewal.Attempts {
-		if t := g.tasks[attempt]; t != nil && t.state.Live() {
-			t.extend(g.instant(renewal.Clock, now), renewal.LeaseMS)
+		if t := ws.tasks[attempt]; t != nil && t.state.Live() {
+			t.extend(ws.timeOfReading(renewal.Clock, now), renewal.LeaseMS)
 		}
 	}
 	for _, attempt := range renewal.Forget {
-		if t := g.tasks[attempt]; t != nil && !t.state.Live() {
-			delete(g.tasks, attempt)
-			g.fenced[attempt] = true
+		if t := ws.tasks[attempt]; t != nil && !t.state.Live() {
+			delete(ws.tasks, attempt)
+			ws.fenced[attempt] = true
 		}
 	}
-	report := worker.Report{Clock: g.clock(now)}
-	for _, t := range g.tasks {
+	report := worker.Report{Clock: ws.clock(now)}
+	for _, t := range ws.tasks {
 		report.Tasks = append(report.Tasks, t.report(now))
 		if t.state == worker.Running {
 			report.Usage = report.Usage.Add(t.Shape.Times(len(t.Members)))
@@ -227,92 +232,93 @@
 	return report, nil
 }
 
-// reach returns a worker; one that is lost can't be reached and drops what it ran.
-func (s *Workers) reach(ctx context.Context, name string) (*guarded, error) {
+// reachable returns a worker's state. A worker that the faults make unreachable gets an error; its tasks are stopped
+// and removed.
+func (s *Workers) reachable(ctx context.Context, name string) (*workerState, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	g := s.worker(name)
+	ws := s.worker(name)
 	if !slices.Contains(s.Faults.Get().LostWorkers, name) {
-		return g, nil
+		return ws, nil
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	now := time.Now()
-	g.advance(now)
-	for attempt, t := range g.tasks {
+	ws.advance(now)
+	for attempt, t := range ws.tasks {
 		if t.state == worker.Running {
 			t.end(worker.Stopped, now)
 		}
-		delete(g.tasks, attempt)
-		g.fenced[attempt] = true
+		delete(ws.tasks, attempt)
+		ws.fenced[attempt] = true
 	}
 	return nil, errors.New("standin: the worker can't be reached")
 }
 
-// Blank takes from a worker the trace of all its tasks, as where its guard is replaced. What it runs goes on until its end or the end of
-// its lease.
+// Blank makes a worker lose the records of all its tasks, as when its worker process is replaced. Running tasks
+// continue until they finish or their lease expires.
 func (s *Workers) Blank(name string) {
-	g := s.worker(name)
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	ws := s.worker(name)
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	now := time.Now()
-	g.advance(now)
-	g.begun = now
-	for attempt, t := range g.tasks {
-		g.hidden = append(g.hidden, t)
+	ws.advance(now)
+	ws.startedAt = now
+	for attempt, t := range ws.tasks {
+		ws.unrecorded = append(ws.unrecorded, t)
 		if t.state == worker.Going {
-			g.broken = append(g.broken, attempt)
+			ws.lostBeforeBegin = append(ws.lostBeforeBegin, attempt)
 		}
-		delete(g.tasks, attempt)
+		delete(ws.tasks, attempt)
 	}
 }
 
-func (s *Workers) worker(name string) *guarded {
+func (s *Workers) worker(name string) *workerState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.workers == nil {
-		s.workers = map[string]*guarded{}
+		s.workers = map[string]*workerState{}
 	}
-	g := s.workers[name]
-	if g == nil {
-		g = &guarded{name: name, begun: time.Now(), tasks: map[string]*task{}, fenced: map[string]bool{}}
-		s.workers[name] = g
+	ws := s.workers[name]
+	if ws == nil {
+		ws = &workerState{name: name, startedAt: time.Now(), tasks: map[string]*task{}, fenced: map[string]bool{}}
+		s.workers[name] = ws
 	}
-	return g
+	return ws
 }
 
-// Runs returns the records of all workers, brought to the present.
+// Runs returns the run records of all workers as of now, ordered by start.
 func (s *Workers) Runs() []Run {
 	s.mu.Lock()
-	workers := make([]*guarded, 0, len(s.workers))
-	for _, g := range s.workers {
-		workers = append(workers, g)
+	workers := make([]*workerState, 0, len(s.workers))
+	for _, ws := range s.workers {
+		workers = append(workers, ws)
 	}
 	s.mu.Unlock()
 	var list []Run
-	for _, g := range workers {
-		g.mu.Lock()
-		g.advance(time.Now())
-		for _, r := range g.runs {
+	for _, ws := range workers {
+		ws.mu.Lock()
+		ws.advance(time.Now())
+		for _, r := range ws.runs {
 			list = append(list, *r)
 		}
-		g.mu.Unlock()
+		ws.mu.Unlock()
 	}
 	slices.SortFunc(list, func(a, b Run) int { return a.Began.Compare(b.Began) })
 	return list
 }
 
-// Broken returns the attempts that lost a worker, or its trace of them, after it was told to go and before it began: nobody can keep the
-// others of the gang from beginning then.
-func (s *Workers) Broken() []string {
+// LostBeforeBegin returns the attempts that lost a worker, or its record of them, between its go command and their
+// beginning. The other workers of the gang can't be kept from beginning then, so such a gang may run in part.
+func (s *Workers) LostBeforeBegin() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
-	for _, g := range s.workers {
-		g.mu.Lock()
-		list = append(list, g.broken...)
-		g.mu.Unlock()
+	for _, ws := range s.workers {
+		ws.mu.Lock()
+		list = append(list, ws.lostBeforeBegin...)
+		ws.mu.Unlock()
 	}
 	return list
 }
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -10,11 +10,12 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// TestLateRenewalExtendsNothing says that a lease ends as long after the report that a renewal goes by, however late the renewal is carried
-// out: else nobody could know when the lease of a worker out of reach is over.
+// TestLateRenewalExtendsNothing guards against a renewal that extends a lease from the time at which it arrives. A
+// lease must be counted from the clock reading in the renewal, however late it arrives: otherwise a box can't know
+// when the lease of an unreachable worker expires.
 func TestLateRenewalExtendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &Workers{Faults: NewFaultBox(1)}
+		s := &Workers{Faults: NewFaultInjector(1)}
 		w := contract.Worker{Name: "w"}
 		renew := func(clock int64) worker.Report {
 			report, err := s.Renew(t.Context(), w, worker.Renewal{Clock: clock, Attempts: []string{"a"}, LeaseMS: 4000})
@@ -28,17 +29,18 @@
 		}
 		report := renew(0)
 		time.Sleep(3900 * time.Millisecond)
-		qt.Assert(t, renew(report.Clock).Tasks[0].State, qt.Equals, worker.Running) // It extends nothing any more.
+		qt.Assert(t, renew(report.Clock).Tasks[0].State, qt.Equals, worker.Running) // Nothing was extended.
 		time.Sleep(200 * time.Millisecond)
 		qt.Assert(t, renew(report.Clock).Tasks[0].State, qt.Equals, worker.Stopped)
 	})
 }
 
-// TestRenewalOfAnEarlierLifeExtendsNothing: a worker crashed and was back at once, with a clock that began anew. A box that had not heard of that renewed what had begun there since by the clock of
-// the life before, 20 s ahead of the new one's: the lease ran 20 s longer than any box could know of, and what was taken for over ran on.
-func TestRenewalOfAnEarlierLifeExtendsNothing(t *testing.T) {
+// TestRenewalOfEarlierIncarnationExtendsNothing guards against a renewal with a clock reading of an earlier
+// incarnation. A worker crashed and restarted with a new clock; a box that didn't know it sent a reading 20 s ahead
+// of that clock. The lease became 20 s longer than any box knew, and a run that was presumed ended continued.
+func TestRenewalOfEarlierIncarnationExtendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &Workers{Faults: NewFaultBox(1)}
+		s := &Workers{Faults: NewFaultInjector(1)}
 		w := contract.Worker{Name: "w"}
 		renew := func(clock int64) worker.Report {
 			report, err := s.Renew(t.Context(), w, worker.Renewal{Clock: clock, Attempts: []string{"b"}, LeaseMS: 4000})
--- a/internal/trial/burst.go
+++ b/internal/trial/burst.go
@@ -1,5 +1,5 @@
-// Package trial runs a policy of the decider on a small fake hall under a burst read from a data file, and measures
-// what the users measure. It fakes only what the decider's interface needs; it is no simulator of a cluster.
+// Package trial runs a scheduling policy of the decider on a small simulated hall with a burst from a data file, and
+// measures the metrics that the users measure. It simulates only what the decider's interface needs, not a cluster.
 package trial
 
 import (
@@ -16,31 +16,31 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// Burst describes the demand and the faults of one trial.
+// Burst describes the jobs and the faults of one trial.
 type Burst struct {
-	Minutes       float64 // Length of the arrivals.
-	WrongFactor   float64 // Declared run times are this factor too long or too short, evenly.
-	BadWorkers    int     // Workers that fail all they start.
-	LoseRackAt    float64 // Second at which the first rack is lost; 0 means never.
-	CancelAt      float64 // Second of a wave of cancellations; 0 means never.
-	CancelShare   float64 // Share of the unfinished jobs that it cancels.
-	ClaimAllAt    float64 // Second at which every workspace asks for its whole guarantee; 0 means never.
-	HopelessShare float64 // Share of jobs that fail wherever they run.
-	Kinds         []Kind
+	Minutes         float64 // Time in which jobs arrive.
+	WrongFactor     float64 // Declared run times are wrong by this factor: half too long, half too short.
+	BadWorkers      int     // Number of workers that fail every job.
+	LoseRackAt      float64 // Second at which the first rack is lost; 0 means never.
+	CancelAt        float64 // Second of a wave of cancellations; 0 means never.
+	CancelShare     float64 // Share (0 to 1) of the unfinished jobs that it cancels.
+	ClaimAllAt      float64 // Second at which every workspace claims its whole guarantee; 0 means never.
+	AlwaysFailShare float64 // Share (0 to 1) of jobs that fail on every worker.
+	Kinds           []Kind
 }
 
 // Kind is one kind of work in a burst.
 type Kind struct {
 	Name            string
 	PerMinute       float64
-	Gangs           []string // Sizes, drawn evenly.
+	Gangs           []string // Gang sizes, drawn uniformly.
 	Shape           contract.Shape
 	MedianSeconds   float64
 	Spread          float64 // Standard deviation of the logarithm of run times.
 	CheckpointShare float64
 	OnceShare       float64
 	UrgentShare     float64
-	Workspaces      []string // Drawn evenly; a name given twice is drawn twice as often.
+	Workspaces      []string // Drawn uniformly; a name listed twice is drawn twice as often.
 	FromSecond      float64
 	UntilSecond     float64 // 0 means the length of the burst.
 }
@@ -76,7 +76,7 @@
 		{Key: "cancel_at", Target: &b.CancelAt},
 		{Key: "cancel_share", Target: &b.CancelShare, Max: 1},
 		{Key: "claim_all_at", Target: &b.ClaimAllAt},
-		{Key: "hopeless_share", Target: &b.HopelessShare, Max: 1},
+		{Key: "hopeless_share", Target: &b.AlwaysFailShare, Max: 1},
 	}
 }
 
@@ -98,19 +98,21 @@
 	}
 }
 
-// job is a job of a trial with what the decider does not know.
+// job is a job of a trial with the facts that the decider does not know.
 type job struct {
 	decider.Job
-	seconds  float64 // True run time.
-	hopeless bool
-	arrives  float64 // Second of the trial.
+	seconds     float64 // True run time.
+	alwaysFails bool
+	arrives     float64 // Second of the trial.
 }
 
-// start is the instant at which every trial begins; only differences matter.
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// trialStart is the time at which every trial begins; its value has no effect.
+var trialStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at returns the instant of a second of the trial.
-func at(second float64) time.Time { return start.Add(time.Duration(second * float64(time.Second))) }
+// timeOf returns the time of a second of the trial.
+func timeOf(second float64) time.Time {
+	return trialStart.Add(time.Duration(second * float64(time.Second)))
+}
 
 // jobs draws the jobs of a burst, sorted by arrival; the same seed gives the same jobs.
 func (b *Burst) jobs(site *contract.Site, seed uint64) ([]*job, error) {
@@ -123,12 +125,12 @@
 		list = append(list, drawn...)
 	}
 	if b.ClaimAllAt > 0 {
-		list = append(list, b.claimants(site)...)
+		list = append(list, b.claimJobs(site)...)
 	}
 	slices.SortStableFunc(list, func(x, y *job) int { return cmp.Compare(x.arrives, y.arrives) })
 	for i, j := range list {
 		j.Key = fmt.Sprintf("j%05d", i)
-		j.Arrived = at(j.arrives)
+		j.Arrived = timeOf(j.arrives)
 	}
 	return list, nil
 }
@@ -151,7 +153,7 @@
 		j.Checkpoints = random.Float64() < k.CheckpointShare
 		j.AtMostOnce = random.Float64() < k.OnceShare
 		j.Urgent = random.Float64() < k.UrgentShare
-		j.hopeless = random.Float64() < b.HopelessShare
+		j.alwaysFails = random.Float64() < b.AlwaysFailShare
 		j.DeclaredSeconds = j.seconds * math.Exp(declaredSpread*random.NormFloat64())
 		if random.IntN(2) == 0 {
 			j.DeclaredSeconds *= b.WrongFactor
@@ -165,11 +167,11 @@
 
 func pause(random *rand.Rand, perMinute float64) float64 { return random.ExpFloat64() * 60 / perMinute }
 
-// claimSeconds is the run time of the gangs with which workspaces claim their guarantees.
+// claimSeconds is the run time in seconds of the gangs that claim the guarantees.
 const claimSeconds = 300
 
-// claimants returns gangs that together are every workspace's whole guarantee, block by block.
-func (b *Burst) claimants(site *contract.Site) []*job {
+// claimJobs returns one gang for each block of each workspace's guarantee; all arrive at ClaimAllAt.
+func (b *Burst) claimJobs(site *contract.Site) []*job {
 	var list []*job
 	for _, w := range site.Workspaces {
 		for range w.Blocks {
--- a/internal/trial/compare.go
+++ b/internal/trial/compare.go
@@ -10,13 +10,13 @@
 	"text/tabwriter"
 )
 
-// Metric is one figure of a result by its name.
+// Metric is a named value of a Result.
 type Metric struct {
 	Name string
 	Of   func(r *Result) float64
 }
 
-// Metrics returns every figure that trials report.
+// Metrics returns all metrics that trials report.
 func Metrics() []Metric {
 	return []Metric{
 		{"completion_mean_s", func(r *Result) float64 { return r.CompletionMean }},
@@ -33,32 +33,33 @@
 	}
 }
 
-// Comparison is the results of every policy on one burst of one site, by policy and seed.
+// Comparison contains the results of all policies for one burst of one site.
 type Comparison struct {
 	Site, Burst string
-	Results     [][]*Result // By policy as in Policies, then by seed.
+	Results     [][]*Result // By policy, in the order of Policies, then by seed.
 }
 
-// Compare runs every policy on the bursts of the sites for the seeds, on all processors.
+// Compare runs every policy on each burst of each site for each seed, in parallel on all processors. The function
+// change, if not nil, adapts each burst first.
 func Compare(sites, bursts []string, seeds []uint64, change func(c *Burst)) ([]*Comparison, error) {
 	var list []*Comparison
 	var group sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	errs := make(chan error, 1)
-	for _, s := range sites {
+	for _, siteName := range sites {
 		for _, name := range bursts {
-			where, err := LoadSite(s)
+			site, err := LoadSite(siteName)
 			if err != nil {
 				return nil, err
 			}
-			burst, err := LoadBurst(s, name)
+			burst, err := LoadBurst(siteName, name)
 			if err != nil {
 				return nil, err
 			}
 			if change != nil {
 				change(burst)
 			}
-			c := &Comparison{Site: s, Burst: name}
+			c := &Comparison{Site: siteName, Burst: name}
 			list = append(list, c)
 			for _, p := range Policies() {
 				results := make([]*Result, len(seeds))
@@ -67,7 +68,7 @@
 					group.Go(func() {
 						slots <- struct{}{}
 						defer func() { <-slots }()
-						r, err := Run(where, burst, p, seed)
+						r, err := Run(site, burst, p, seed)
 						if err != nil {
 							select {
 							case errs <- err:
@@ -89,7 +90,7 @@
 	}
 }
 
-// Median returns the median of a metric over the seeds for the policy of an index.
+// Median returns the median of a metric over the seeds, for the policy with an index.
 func (c *Comparison) Median(policy int, m Metric) float64 {
 	var list []float64
 	for _, r := range c.Results[policy] {
@@ -99,8 +100,8 @@
 	return list[len(list)/2]
 }
 
-// Most returns the greatest value of a metric over the seeds for the policy of an index.
-func (c *Comparison) Most(policy int, m Metric) float64 {
+// Max returns the maximum of a metric over the seeds, for the policy with an index.
+func (c *Comparison) Max(policy int, m Metric) float64 {
 	most := math.Inf(-1)
 	for _, r := range c.Results[policy] {
 		most = max(most, m.Of(r))
@@ -108,24 +109,26 @@
 	return most
 }
 
-// Ratio returns the policy of the boxes against the better of the baselines, where less is better.
+// Ratio returns the median of the boxes' policy divided by the lowest median of the baselines. It expects a metric
+// where lower is better.
 func (c *Comparison) Ratio(m Metric) float64 {
 	last := len(c.Results) - 1
 	best := math.Inf(1)
 	for p := range last {
 		best = min(best, c.Median(p, m))
 	}
-	own := c.Median(last, m)
+	value := c.Median(last, m)
 	if best == 0 {
-		if own == 0 {
+		if value == 0 {
 			return 1
 		}
 		return math.Inf(1)
 	}
-	return own / best
+	return value / best
 }
 
-// Print writes the medians of every policy, and the ratio of the last to the better of the others.
+// Print writes a table with the medians of every policy and their Ratio. For broken promises and unfinished jobs it
+// writes the maximum instead of the median.
 func Print(w io.Writer, list []*Comparison) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "site\tburst\tmetric\t")
@@ -139,12 +142,12 @@
 			for p := range c.Results {
 				value := c.Median(p, m)
 				if m.Name == "broken_promises" || m.Name == "unfinished" {
-					value = c.Most(p, m)
+					value = c.Max(p, m)
 				}
 				fmt.Fprintf(t, "%.4g\t", value)
 			}
 			fmt.Fprintf(t, "%.2f\t\n", c.Ratio(m))
 		}
 	}
-	_ = t.Flush() // The writer below says where it fails.
+	_ = t.Flush() // Errors of w are not reported.
 }
--- a/internal/trial/data.go
+++ b/internal/trial/data.go
@@ -12,18 +12,18 @@
 //go:embed data
 var data embed.FS
 
-// Names of what is at hand.
+// Names of the embedded sites and bursts.
 var (
 	SiteNames  = []string{"gujarat", "yeongdong"}
 	BurstNames = []string{"small_flood", "large_flood", "mixed", "cancel_wave", "wrong_estimates", "bad_workers", "rack_loss", "reclaim_all"}
 )
 
-// Policies returns the baselines and the policy of the boxes, which is the last.
+// Policies returns the baselines, then the policy of the boxes as the last one.
 func Policies() []decider.Policy {
 	return []decider.Policy{decider.FirstFit{}, decider.Backfill{}, decider.Pulleyring{}}
 }
 
-// LoadSite reads the site of a name; it has one hall.
+// LoadSite returns the embedded site with a name; it has one hall.
 func LoadSite(name string) (*contract.Site, error) {
 	file := "data/sites/" + name + ".ini"
 	raw, err := data.ReadFile(file)
@@ -33,7 +33,7 @@
 	return site.Parse(file, raw)
 }
 
-// LoadBurst reads the burst of a name as it is at a site.
+// LoadBurst returns the embedded burst with a name for a site.
 func LoadBurst(siteName, name string) (*Burst, error) {
 	file := "data/bursts/" + siteName + "/" + name + ".ini"
 	raw, err := data.ReadFile(file)
--- a/internal/trial/policy_test.go
+++ b/internal/trial/policy_test.go
@@ -19,19 +19,19 @@
 	return n
 }
 
-// BenchmarkPolicy puts every policy through every burst of every site; PULLEYRING_SEED sets the seed.
+// BenchmarkPolicy runs every policy on every burst of every site; PULLEYRING_SEED sets the seed.
 func BenchmarkPolicy(b *testing.B) {
 	n := seed(b)
-	for _, s := range SiteNames {
+	for _, siteName := range SiteNames {
 		for _, burst := range BurstNames {
 			for _, p := range Policies() {
-				b.Run(fmt.Sprintf("site=%s/burst=%s/policy=%s", s, burst, p.Name()), func(b *testing.B) {
-					where, err := LoadSite(s)
+				b.Run(fmt.Sprintf("site=%s/burst=%s/policy=%s", siteName, burst, p.Name()), func(b *testing.B) {
+					site, err := LoadSite(siteName)
 					qt.Assert(b, err, qt.IsNil)
-					demand, err := LoadBurst(s, burst)
+					demand, err := LoadBurst(siteName, burst)
 					qt.Assert(b, err, qt.IsNil)
 					for b.Loop() {
-						r, err := Run(where, demand, p, n)
+						r, err := Run(site, demand, p, n)
 						qt.Assert(b, err, qt.IsNil)
 						report(b, r)
 					}
--- a/internal/trial/property_test.go
+++ b/internal/trial/property_test.go
@@ -16,18 +16,18 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
-		_ = seed.Value.Set("1") // The same cases in every run, unless another seed is asked for.
+		_ = seed.Value.Set("1") // Run the same cases each time unless a seed is given.
 	}
 	os.Exit(m.Run())
 }
 
-// twice asks the policy twice about every view and keeps the first difference.
-type twice struct {
+// repeatingPolicy calls the policy twice with each view and records the first pair of different decisions.
+type repeatingPolicy struct {
 	decider.Policy
 	differs *string
 }
 
-func (p twice) Decide(v *decider.View) decider.Outcome {
+func (p repeatingPolicy) Decide(v *decider.View) decider.Outcome {
 	first := p.Policy.Decide(v)
 	second := p.Policy.Decide(v)
 	if !reflect.DeepEqual(first, second) && *p.differs == "" {
@@ -64,11 +64,11 @@
 	for _, rack := range s.Halls[0].Racks {
 		workers += len(rack.Workers)
 	}
-	bad := min(1, workers/8) // Among few workers a bad one can't be told from bad jobs.
+	bad := min(1, workers/8) // With few workers, the policy can't distinguish a bad worker from bad jobs.
 	b := &Burst{
 		Minutes: 4, WrongFactor: rapid.SampledFrom([]float64{1, 10}).Draw(r, "wrong"), BadWorkers: rapid.IntRange(0, bad).Draw(r, "bad"),
 		CancelAt: rapid.SampledFrom([]float64{0, 100}).Draw(r, "cancel"), CancelShare: 0.5,
-		ClaimAllAt: rapid.SampledFrom([]float64{0, 90}).Draw(r, "claim"), HopelessShare: rapid.SampledFrom([]float64{0, 0.02}).Draw(r, "hopeless"),
+		ClaimAllAt: rapid.SampledFrom([]float64{0, 90}).Draw(r, "claim"), AlwaysFailShare: rapid.SampledFrom([]float64{0, 0.02}).Draw(r, "hopeless"),
 	}
 	for i, gangs := range [][]string{{"1"}, {"1", "2", "4"}, {"8", "12", "16"}} {
 		b.Kinds = append(b.Kinds, Kind{
@@ -81,29 +81,30 @@
 	return b
 }
 
-// TestPolicyProperty runs drawn bursts on drawn halls: no gang is started in part, no device is given twice, nothing is
-// stopped that may not be, every guarantee that is claimed comes back in time, every job ends, and a view shown twice
-// gets the same answer.
+// TestPolicyProperty guards against broken promises on random bursts and halls: a gang started in part, a device
+// assigned twice, a job stopped that must not be, or a guarantee reclaimed too late. It also fails if a job never
+// ends, or if the policy decides differently on the same view.
 func TestPolicyProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := drawSite(r)
 		b := drawBurst(r, s)
 		differs := ""
-		result, err := Run(s, b, twice{decider.Pulleyring{}, &differs}, rapid.Uint64Range(1, 1000).Draw(r, "seed"))
+		result, err := Run(s, b, repeatingPolicy{decider.Pulleyring{}, &differs}, rapid.Uint64Range(1, 1000).Draw(r, "seed"))
 		if err != nil {
 			r.Fatal(err)
 		}
 		if differs != "" {
 			r.Fatalf("the same view got two answers:\n%s", differs)
 		}
-		unfinished := result.Unfinished > 0 && b.BadWorkers == 0 // A gang that needs the bad worker too waits for it.
+		unfinished := result.Unfinished > 0 && b.BadWorkers == 0 // A gang that also needs the bad worker waits for it.
 		if result.BrokenPromises > 0 || unfinished {
 			r.Fatalf("%d unfinished of %d, broken: %v", result.Unfinished, result.Jobs, result.Broken)
 		}
 	})
 }
 
-// TestBaselinesFinish keeps the baselines honest: each ends every job of the mixed burst and keeps gangs whole.
+// TestBaselinesFinish guards against a policy, a baseline in particular, that doesn't end every job of the mixed
+// burst.
 func TestBaselinesFinish(t *testing.T) {
 	s, err := LoadSite("gujarat")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/trial/result.go
+++ b/internal/trial/result.go
@@ -6,42 +6,44 @@
 	"github.com/pulleyring/pulleyring/internal/decider"
 )
 
-// Result is what one trial measured.
+// Result contains the measurements of one trial.
 type Result struct {
 	Jobs         int
 	Completed    int
 	Cancelled    int
-	Refused      int // No rack could ever hold them.
+	Refused      int // Jobs that no rack could run even when empty.
 	GivenUp      int
 	LostOnce     int // At-most-once jobs that a fault ended; they are settled as failed.
 	FailedStarts int
 	Stops        int
 	Unfinished   int
 
-	CompletionMean    float64 // Seconds from arrival to end.
-	RunMean           float64 // Seconds; the mean run time, which no policy's mean completion can be below.
-	CompletionP95     float64
-	LargeWaitP95      float64 // Seconds from arrival to end less the run time, of gangs larger than a worker.
-	Fragmentation     float64 // Accelerator-time that was free but of no use to a waiting large gang, as a share of all until the last arrival.
-	FreeUnusableShare float64 // The same as a share of the free accelerator-time while a large gang waited.
-	LostWorkShare     float64 // Accelerator-time whose work was lost, as a share of the time worked.
+	CompletionMean float64 // Seconds from arrival to end.
+	RunMean        float64 // Mean run time in seconds: the lower bound of CompletionMean.
+	CompletionP95  float64
+	LargeWaitP95   float64 // Seconds from arrival to end minus the run time, of gangs larger than a worker.
+	// Fragmentation is the accelerator time free in racks where no waiting large gang fits, as a share of all until the
+	// last arrival.
+	Fragmentation     float64
+	FreeUnusableShare float64 // The time as in Fragmentation, as a share of all that was free while a large gang waited.
+	LostWorkShare     float64 // Accelerator time whose work was lost, as a share of the time worked.
 	ReclaimP95        float64 // Seconds from a claim within the guarantee to its start.
-	Utilization       float64 // Useful accelerator-time as a share of all until the last end.
+	Utilization       float64 // Useful accelerator time, as a share of all until the last end.
 	BrokenPromises    int
-	Broken            []string // The first few broken promises in words.
+	Broken            []string // Descriptions of the first broken promises, at most maxBrokenTexts.
 
-	completions, largeWaits, reclaims []float64
-	runs                              []float64
-	lostWork, useful                  float64
-	unusable, freeWhile, lastEnd      float64
+	completions, largeWaits, reclaims      []float64
+	runs                                   []float64
+	lostWork, useful                       float64
+	unusable, freeWhileLargeWaits, lastEnd float64
 }
 
-// brokenKept is the number of broken promises that are kept in words.
-const brokenKept = 5
+// maxBrokenTexts is the maximum number of descriptions in Result.Broken.
+const maxBrokenTexts = 5
 
-func (r *Result) broke(what string) {
+func (r *Result) recordBroken(what string) {
 	r.BrokenPromises++
-	if len(r.Broken) < brokenKept {
+	if len(r.Broken) < maxBrokenTexts {
 		r.Broken = append(r.Broken, what)
 	}
 }
@@ -57,54 +59,54 @@
 	}
 }
 
-// largestWorker is the number of accelerators of a worker in the trials; gangs that need more are large.
+// largestWorker is the largest number of accelerators of a worker in the trials; gangs that need more are large.
 const largestWorker = 8
 
-// measure adds this step to the measure of fragmentation.
-func (h *hall) measure() {
-	var forms []*job
+// measureFragmentation adds this step to the fragmentation metrics, if a large gang waits.
+func (h *hall) measureFragmentation() {
+	var largeJobs []*job
 	for _, j := range h.waiting {
-		if j.Accelerators() > largestWorker && !slices.ContainsFunc(forms, func(o *job) bool { return o.Gang == j.Gang && o.Shape == j.Shape }) {
-			forms = append(forms, j)
+		if j.Accelerators() > largestWorker && !slices.ContainsFunc(largeJobs, func(o *job) bool { return o.Gang == j.Gang && o.Shape == j.Shape }) {
+			largeJobs = append(largeJobs, j)
 		}
 	}
-	if len(forms) == 0 {
+	if len(largeJobs) == 0 {
 		return
 	}
 	for _, r := range h.racks {
 		free := 0
 		for _, k := range r.Workers {
-			if !h.lost[k] {
-				free += h.free[k].Accelerators
+			if !h.lostWorkers[k] {
+				free += h.freeCapacity[k].Accelerators
 			}
 		}
-		h.result.freeWhile += float64(free) * step
-		if !slices.ContainsFunc(forms, func(j *job) bool { return h.serves(r, j) }) {
-			h.result.unusable += float64(free) * step
+		h.result.freeWhileLargeWaits += float64(free) * stepSeconds
+		if !slices.ContainsFunc(largeJobs, func(j *job) bool { return h.fits(r, j) }) {
+			h.result.unusable += float64(free) * stepSeconds
 		}
 	}
 }
 
-// serves reports whether a rack has room for a gang now.
-func (h *hall) serves(r decider.Rack, j *job) bool {
+// fits reports whether a rack has enough free capacity for a gang now.
+func (h *hall) fits(r decider.Rack, j *job) bool {
 	room := 0
 	for _, k := range r.Workers {
-		if !h.lost[k] {
-			room += j.Shape.Copies(h.free[k])
+		if !h.lostWorkers[k] {
+			room += j.Shape.Copies(h.freeCapacity[k])
 		}
 	}
 	return room >= j.Gang
 }
 
-// finish works out the measures.
+// finish computes the metrics at the end of the trial.
 func (r *Result) finish(h *hall) {
 	total := 0
 	for i := range h.workers {
 		total += h.workers[i].Capacity.Accelerators
 	}
-	for _, claimed := range h.due {
-		if h.now-claimed > float64(h.site.ReclaimSeconds) {
-			r.broke("a guarantee never came back")
+	for _, claimedAt := range h.guaranteedSince {
+		if h.now-claimedAt > float64(h.site.ReclaimSeconds) {
+			r.recordBroken("a guarantee never came back")
 		}
 	}
 	r.CompletionMean = mean(r.completions)
@@ -113,7 +115,7 @@
 	r.LargeWaitP95 = quantile(r.largeWaits, 0.95)
 	r.ReclaimP95 = quantile(r.reclaims, 0.95)
 	r.Fragmentation = ratio(r.unusable, float64(total)*h.burst.Minutes*60)
-	r.FreeUnusableShare = ratio(r.unusable, r.freeWhile)
+	r.FreeUnusableShare = ratio(r.unusable, r.freeWhileLargeWaits)
 	r.LostWorkShare = ratio(r.lostWork, r.lostWork+r.useful)
 	r.Utilization = ratio(r.useful, float64(total)*r.lastEnd)
 }
