--- a/internal/settlement/rows_test.go
+++ b/internal/settlement/rows_test.go
@@ -42,8 +42,8 @@
 			Moves: 4, Failures: []string{"w"}, Losses: 5, LateLosses: 6, Ran: true,
 			Halt: &Halt{Reason: "r", AtOnce: true, Cancel: true, Lost: true}, Unsettled: true,
 		},
-		RackKey("h", "r"): Rack{Attempts: []string{"a"}},
-		OpenKey(id):       Open{Identity: id, Box: "b", Expires: at},
+		RackKey("h", "r"):     Rack{Attempts: []string{"a"}},
+		PendingRequestKey(id): PendingRequest{Identity: id, Box: "b", Expires: at},
 	} {
 		write := table.Put(key, value)
 		qt.Check(t, string(write.Value), qt.Equals, stored[key], qt.Commentf("%s", key))
