--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -207,7 +207,7 @@
 		return 0, err
 	}
 	if err := b.Config.Refresh(ctx); err != nil {
-		return 0, errors.Wrap(err, "box: unable to read the table; nothing was changed")
+		return 0, errors.Wrap(err, "box: the table can't be asked")
 	}
 	current, _ := b.Config.Versions()
 	if base >= 0 && base != current {
@@ -221,7 +221,7 @@
 		return 0, &api.ConflictError{Version: current}
 	}
 	if err != nil {
-		return 0, errors.Wrap(err, "box: it is unknown whether the configuration was committed; check with show settings")
+		return 0, errors.Wrap(err, "box: whether the configuration was committed is not known; ask show settings")
 	}
 	if err := b.Config.Refresh(ctx); err == nil {
 		b.notifyChange(config.Prefix)
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -40,7 +40,7 @@
 
 // ErrUnavailable means that the service refused a request and did nothing. For a commit, the refusal must name the
 // transaction.
-var ErrUnavailable = errors.New("table: service is unavailable; nothing was written")
+var ErrUnavailable = errors.New("table: unavailable, nothing was done")
 
 // ErrUnknown means that a request may or may not have been carried out.
 var ErrUnknown = errors.New("table: the outcome is not known")
