--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,9 +1,9 @@
-// Package deploy holds the site configurations that the demo runs and that a clone can start from.
+// Package deploy embeds the example site configurations. The demo runs them, and new sites can start from them.
 package deploy
 
 import "embed"
 
-// Sites holds NAME/site.ini for each site.
+// Sites contains the file NAME/site.ini of each example site.
 //
 //go:embed */site.ini
 var Sites embed.FS
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,4 +1,4 @@
-// Package api is the HTTP interface of a box for callers, operators, the balancer and monitoring.
+// Package api serves the HTTP interface of a box to callers, operators, the load balancer and monitoring.
 package api
 
 import (
@@ -27,35 +27,35 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Headers of the interface.
+// Request headers.
 const (
-	HeaderKey   = "Idempotency-Key"       // Id of a request.
-	HeaderRound = "Pulleyring-Submission" // Number of the submission of that id, from 1.
+	HeaderKey   = "Idempotency-Key"       // ID of a request, unique for its caller.
+	HeaderRound = "Pulleyring-Submission" // Number of the submission of that ID, counted from 1.
 )
 
-// Limits of the interface that are no settings.
+// Limits that can't be changed in the settings.
 const (
 	longestWait    = 10 * time.Minute
 	operatorWithin = 60 * time.Second
 	maxSiteBytes   = 16 << 20
 )
 
-// Server answers the requests of a box. Fill in the exported fields before use.
+// Server serves the HTTP requests of a box. Set the exported fields before use.
 type Server struct {
 	Settings *settings.Box
 	Config   *config.Keeper
 	Intake   *intake.Intake
 	Desk     *operator.Desk
-	Apply    func(ctx context.Context, text string, base int64) (int64, error) // Commits a configuration.
-	Timeline func(ctx context.Context, job string) []timeline.Event            // Of all boxes.
+	Apply    func(ctx context.Context, text string, base int64) (int64, error) // Commits a configuration; base is the version to replace, or -1.
+	Timeline func(ctx context.Context, job string) []timeline.Event            // Returns the events of all boxes.
 	Registry metrics.Registry
 
 	ready   atomic.Bool
-	leaving context.Context // Ends when waiting callers are to be told what is known so far.
+	leaving context.Context // Ends when the box stops: waiting callers then get the state known so far.
 	leave   context.CancelFunc
 }
 
-// Handler returns the routes.
+// Handler returns the HTTP handler with all routes.
 func (s *Server) Handler() http.Handler {
 	s.leaving, s.leave = context.WithCancel(context.Background())
 	r := chi.NewRouter()
@@ -70,10 +70,11 @@
 	return r
 }
 
-// SetReady tells the balancer whether new requests are welcome.
+// SetReady sets whether the box reports to the load balancer that it accepts new requests.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Leave answers callers that wait for a gang with what is known, so that a planned stop need not wait for hours.
+// Leave answers all waiting callers with the state known so far. Otherwise a planned stop would have to wait for gangs
+// that run for hours.
 func (s *Server) Leave() { s.leave() }
 
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -91,21 +92,21 @@
 
 // refuse writes a problem document.
 func refuse(w http.ResponseWriter, status int, title string, findings finding.List) {
-	raw, _ := json.Marshal(request.Problem{Type: "about:blank", Title: title, Status: status, Findings: findings}) // Plain structs encode.
+	raw, _ := json.Marshal(request.Problem{Type: "about:blank", Title: title, Status: status, Findings: findings}) // Encoding this struct never fails.
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // The other side is gone where this fails.
+	_, _ = w.Write(raw) // An error means that the client has disconnected.
 }
 
-// callerHandler serves a request of a known caller.
+// callerHandler serves a request of an authenticated caller.
 type callerHandler func(w http.ResponseWriter, r *http.Request, caller contract.Caller)
 
-// operatorHandler serves a request of a known operator.
+// operatorHandler serves a request of an authenticated operator.
 type operatorHandler func(w http.ResponseWriter, r *http.Request, name string)
 
 func (s *Server) asCaller(h callerHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if s.Config.Site() == nil { // Nobody can be told apart yet.
+		if s.Config.Site() == nil { // No caller can be authenticated yet.
 			w.Header().Set("Retry-After", "1")
 			refuse(w, http.StatusServiceUnavailable, "no configuration is in force in this box yet", nil)
 			return
@@ -133,7 +134,8 @@
 	}
 }
 
-// operatorHash returns the hash of an operator's key: from the settings, or from the configuration in force.
+// operatorHash returns the hash of an operator's key from the settings, or else from the configuration in force.
+// It is empty if the operator is unknown.
 func (s *Server) operatorHash(name string) string {
 	for _, o := range s.Settings.Operators {
 		if o.Name == name {
@@ -150,7 +152,7 @@
 	return ""
 }
 
-// submit takes one request.
+// submit validates one request, passes it to the intake and replies with its outcome.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, caller contract.Caller) {
 	received := time.Now()
 	o := intake.Order{Identity: request.Identity{Caller: caller.Name, ID: r.Header.Get(HeaderKey)}, Received: received}
@@ -181,7 +183,7 @@
 	return round
 }
 
-// decode reads the body strictly.
+// decode decodes the JSON body. It reports unknown fields, trailing data and bodies that are too large.
 func (s *Server) decode(w http.ResponseWriter, r *http.Request, into any, findings *finding.List) {
 	body := http.MaxBytesReader(w, r.Body, int64(s.Settings.Limits.BodyBytes))
 	decoder := json.NewDecoder(body)
@@ -198,8 +200,8 @@
 	}
 }
 
-// waitContext returns a context that ends when the caller no longer wants to wait: for gangs at once unless the header
-// Prefer: wait=SECONDS says otherwise, for small requests when they are settled.
+// waitContext returns a context that ends when the caller no longer waits for the outcome. The header
+// Prefer: wait=SECONDS sets the time; without it, callers don't wait for gangs and wait longestWait for small requests.
 func (s *Server) waitContext(r *http.Request, gang bool) (context.Context, context.CancelFunc) {
 	wait := longestWait
 	if gang {
@@ -215,7 +217,7 @@
 	return ctx, func() { stop(); cancel() }
 }
 
-// reply writes what a caller is told.
+// reply writes the reply to a caller with the HTTP status that fits its outcome.
 func (s *Server) reply(w http.ResponseWriter, reply request.Reply) {
 	status := http.StatusOK
 	switch reply.Outcome {
@@ -230,7 +232,7 @@
 	wire.Reply(w, status, reply)
 }
 
-// ask tells a caller what became of its request.
+// ask replies with the state of a caller's earlier request.
 func (s *Server) ask(w http.ResponseWriter, r *http.Request, caller contract.Caller) {
 	id := request.Identity{Caller: caller.Name, ID: chi.URLParam(r, "id")}
 	ctx, cancel := s.waitContext(r, true)
@@ -243,7 +245,7 @@
 	s.reply(w, reply)
 }
 
-// command carries out an operator's command.
+// command runs an operator's command.
 func (s *Server) command(w http.ResponseWriter, r *http.Request, name string) {
 	var body struct {
 		Command string `json:"command"`
@@ -269,7 +271,7 @@
 	}
 }
 
-// apply commits a configuration. The header If-Match names the version that it is meant to replace.
+// apply commits a configuration. The header If-Match names the version that it replaces.
 func (s *Server) apply(w http.ResponseWriter, r *http.Request, _ string) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSiteBytes))
 	if err != nil {
@@ -300,12 +302,12 @@
 	}
 }
 
-// ConflictError says that another configuration was committed first.
+// ConflictError reports that another configuration was committed first.
 type ConflictError struct {
-	Version int64 // In force now.
+	Version int64 // The version in force.
 }
 
-// Error names the version in force.
+// Error returns a message with the version in force.
 func (e *ConflictError) Error() string {
 	return "another configuration was committed first; version " + strconv.FormatInt(e.Version, 10) + " is in force"
 }
--- a/internal/cli/box.go
+++ b/internal/cli/box.go
@@ -52,7 +52,7 @@
 	return exitGood
 }
 
-// serveBox runs a box on its settings' addresses until planned is closed or ctx ends.
+// serveBox runs a box on the addresses of its settings until planned is closed or ctx ends.
 func serveBox(ctx context.Context, s *settings.Box, planned <-chan struct{}, log *zap.Logger) error {
 	network, err := newNetwork(s)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return b.Run(ctx, planned, listener)
 }
 
-// newBox puts a box together with the platform's HTTP clients; its network answers with the box.
+// newBox returns a box that reaches the platform over HTTP, and makes it the network's message handler.
 func newBox(s *settings.Box, network *link.QUIC, log *zap.Logger) (*box.Box, error) {
 	transport, err := transportFor("")
 	if err != nil {
@@ -97,7 +97,7 @@
 	return &link.QUIC{Certificate: certificate, Authority: pool, Delay: s.Timing.LinkDelay}, nil
 }
 
-// listen opens the address for callers, with TLS where the settings name a certificate.
+// listen opens the listener for callers and operators, with TLS if the settings name a certificate.
 func listen(s *settings.Box) (net.Listener, error) {
 	listener, err := net.Listen("tcp", s.Listen)
 	if err != nil {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -32,10 +32,11 @@
 	return code
 }
 
-// boxNames is the files of settings that were checked, by the name of their box.
+// boxNames maps the names of boxes to the settings files already checked.
 type boxNames map[string]string
 
-// take notes the settings of a box; two files with one name are a mistake, as the earlier of two starts of a box ends.
+// take records the settings file of a box. It returns an error if another file names the same box: when a second
+// process starts with a box's name, the first one ends.
 func (b boxNames) take(box, file string) error {
 	if other := b[box]; other != "" && other != file {
 		return errors.Errorf("box %s has these settings in %s too; of two starts of a box the earlier one ends", box, other)
@@ -56,7 +57,8 @@
 	}
 }
 
-// checkFile checks a file by what its sections say it is: settings of a box, of the stand-ins, or a site; one without sections is a box's settings on the platform.
+// checkFile checks a file according to its sections: a site configuration, or the settings of a box or of the stand-ins.
+// A file without sections holds the settings of a box on the platform.
 func (b boxNames) checkFile(name string) error {
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -90,7 +92,8 @@
 	return err
 }
 
-// loadSite reads a site configuration and returns its text with every @FILE replaced, relative to the file itself.
+// loadSite reads and validates a site configuration. It returns its text, in which the content of FILE replaces every
+// value @FILE, and the number of workspaces. File names are relative to the configuration's directory.
 func loadSite(name string) (string, int, error) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -107,7 +110,7 @@
 	return string(raw), len(parsed.Workspaces), nil
 }
 
-// expandBeside replaces every @FILE of a document, relative to the document's own file.
+// expandBeside replaces every value @FILE with the content of FILE, relative to the directory of the document.
 func expandBeside(name string, raw []byte) ([]byte, error) {
 	return site.Expand(raw, func(file string) ([]byte, error) {
 		return os.ReadFile(filepath.Join(filepath.Dir(name), file))
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line: one file for each subcommand.
+// Package cli implements the command line. Most subcommands have a file of their own.
 package cli
 
 import (
@@ -19,11 +19,11 @@
 // Exit codes.
 const (
 	exitGood  = 0
-	exitBad   = 1 // It was refused or failed.
-	exitUsage = 2 // The command line or a file is wrong.
+	exitBad   = 1 // The request was refused or failed.
+	exitUsage = 2 // The command line or an input file is invalid.
 )
 
-// subcommand is one word of the command line.
+// subcommand describes one subcommand.
 type subcommand struct {
 	name  string
 	usage string
@@ -31,7 +31,7 @@
 	run   func(e *env, args []string) int
 }
 
-// env is where a subcommand writes.
+// env holds the output streams of a subcommand.
 type env struct {
 	out, err io.Writer
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// Run carries out one command line and returns the exit code.
+// Run runs one command line and returns the exit code.
 func Run(args []string, out, err io.Writer) int {
 	e := &env{out, err}
 	if len(args) == 0 {
@@ -111,7 +111,7 @@
 	return set
 }
 
-// parse reads the arguments; done says that the subcommand ends with the code.
+// parse parses the arguments. If done is true, the subcommand must exit with the code.
 func (e *env) parse(set *flag.FlagSet, args []string) (code int, done bool) {
 	for _, a := range args {
 		if a == "-h" || a == "--help" || a == "-help" {
@@ -128,19 +128,19 @@
 	return 0, false
 }
 
-// fail prints an error and returns the code for it.
+// fail prints an error and returns the given exit code.
 func (e *env) fail(code int, err error) int {
 	fmt.Fprintf(e.err, "pulleyring: %v\n", err)
 	return code
 }
 
-// usageError prints what is wrong with the command line.
+// usageError prints what is wrong with the command line and returns exitUsage.
 func (e *env) usageError(name, format string, args ...any) int {
 	fmt.Fprintf(e.err, "pulleyring %s: "+format+"; see pulleyring %s -h\n", append(append([]any{name}, args...), name)...)
 	return exitUsage
 }
 
-// access is the part of a command line that says which boxes to speak to, and as whom.
+// access holds the options that say which boxes to connect to and with which key.
 type access struct {
 	box, key, authority string
 	within              time.Duration
@@ -153,7 +153,7 @@
 	set.DurationVar(&a.within, "within", 30*time.Second, "longest `time` for the whole call")
 }
 
-// client returns the client for an access.
+// client returns a client for the boxes with the key.
 func (a *access) client() (*caller.Client, error) {
 	if a.key == "" {
 		return nil, errors.New("-key names no file")
@@ -169,7 +169,7 @@
 	return &caller.Client{Boxes: strings.Split(a.box, ","), Key: strings.TrimSpace(string(raw)), HTTP: &http.Client{Transport: transport}}, nil
 }
 
-// newLog returns a logger that writes short lines.
+// newLog returns a logger that writes lines of plain text without the source position.
 func newLog(w io.Writer, level string) *zap.Logger {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.ISO8601TimeEncoder
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -8,7 +8,7 @@
 	"github.com/pulleyring/pulleyring/internal/logline"
 )
 
-// runExplain prints a time line of a job or task from the logs of several boxes.
+// runExplain prints the log lines of several boxes about a job or task, ordered by time.
 func runExplain(e *env, args []string) int {
 	set := e.flags("explain")
 	if code, done := e.parse(set, args); done {
@@ -32,7 +32,7 @@
 	return exitGood
 }
 
-// readLogs reads files, and all files of directories that end in .log.
+// readLogs parses log files and the *.log files of directories. It prints how many lines are not JSON.
 func readLogs(e *env, paths []string) (lines []logline.Line, err error) {
 	for _, path := range paths {
 		files := []string{path}
--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -10,16 +10,16 @@
 	"github.com/pkg/errors"
 )
 
-// figuresWithin bounds a call to the address of a box's figures.
+// figuresWithin is the timeout of a call to a box's metrics address.
 const figuresWithin = 3 * time.Second
 
-// defaultFigures is where the figures of a box on this machine are.
+// defaultFigures is the base URL of the metrics address of a box on this machine.
 const defaultFigures = "http://127.0.0.1:7000"
 
-// errNotKnown says that a box has nothing under a path.
+// errNotKnown reports that a box answered 404 for a path.
 var errNotKnown = errors.New("answered 404 Not Found")
 
-// fetchFigures decodes what a box tells operators under a path.
+// fetchFigures decodes the JSON document that a box serves to operators under a path of its metrics address.
 func fetchFigures(box, path string, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), figuresWithin)
 	defer cancel()
--- a/internal/cli/halls.go
+++ b/internal/cli/halls.go
@@ -9,7 +9,8 @@
 	"github.com/pulleyring/pulleyring/internal/node"
 )
 
-// runHalls prints which halls boxes take as emptied, box by box: a box that lags behind is seen by its age.
+// runHalls prints for each box which halls it considers emptied, and how old that information is. An old age shows a
+// box that lags behind.
 func runHalls(e *env, args []string) int {
 	set := e.flags("halls")
 	boxes := set.String("boxes", defaultFigures, "base `URLs` of the boxes' figures, by commas")
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -40,8 +40,8 @@
 	return exitGood
 }
 
-// makeKeys writes what is missing: the authority with the boxes' certificates, and a key with its hash for every
-// caller and operator.
+// makeKeys creates the missing files: the authority with the boxes' certificates, and a key with its hash for every
+// caller and operator. It returns the number of files written.
 func makeKeys(name string, raw []byte, dir string, boxes []string, ip net.IP) (int, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return 0, errors.Wrap(err, "keys: unable to make the directory")
@@ -76,8 +76,8 @@
 	return 2, errors.Wrap(err, "keys: unable to write")
 }
 
-// makeCertificates makes an authority and a certificate for each box. The authority's own key is not kept, so all
-// boxes' certificates are made anew where one is missing.
+// makeCertificates creates an authority and a certificate for each box, and returns the number of files written. The
+// authority's private key is not stored, so if one certificate is missing, all are created again.
 func makeCertificates(site, dir string, boxes []string, ip net.IP) (int, error) {
 	missing := false
 	for _, box := range boxes {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -16,7 +16,7 @@
 	"github.com/rs/xid"
 )
 
-// Bounds of the measured latencies, in microseconds, and their precision.
+// Range of the latency histogram in microseconds, and its precision in significant digits.
 const (
 	leastMicros   = 1
 	mostMicros    = 60_000_000
@@ -24,28 +24,29 @@
 	microsInMilli = 1000.0
 )
 
-// loadPhase is what one phase of a load measured.
+// loadPhase holds the measurements of one phase of the load test.
 type loadPhase struct {
 	Requests  int64   `json:"requests"`
-	Failed    int64   `json:"failed"` // Neither answered nor refused as not run.
+	Failed    int64   `json:"failed"` // Requests that were neither done nor reported as not run.
 	NotRun    int64   `json:"not_run"`
 	PerSecond float64 `json:"per_second"`
 	P50MS     float64 `json:"p50_ms"`
 	P99MS     float64 `json:"p99_ms"`
 }
 
-// loader sends small requests from several goroutines for a while.
+// loader sends small requests from several goroutines for a fixed time.
 type loader struct {
 	concurrency int
 	length      time.Duration
-	pace        time.Duration // Between two requests of one goroutine; 0 sends as fast as answers come.
+	pace        time.Duration // Interval of one goroutine's requests; 0 sends the next one as soon as the answer arrives.
 
 	mu    sync.Mutex
 	times *hdrhistogram.Histogram
 	phase loadPhase
 }
 
-// run makes calls until the time is over; call reports the outcome of one.
+// run makes calls for the set time and returns the measurements. The function call sends one request and returns its
+// outcome.
 func (l *loader) run(call func(ctx context.Context, number int) request.Outcome) loadPhase {
 	l.times = hdrhistogram.New(leastMicros, mostMicros, sigDigits)
 	l.phase = loadPhase{}
@@ -74,7 +75,7 @@
 	l.phase.Requests++
 	switch o {
 	case request.Done:
-		_ = l.times.RecordValue(max(took.Microseconds(), leastMicros)) // Slower than a minute counts as failed elsewhere.
+		_ = l.times.RecordValue(max(took.Microseconds(), leastMicros)) // Fails only for latencies above a minute; these are left out of the histogram.
 	case request.NotRun:
 		l.phase.NotRun++
 	default:
@@ -123,7 +124,7 @@
 		}
 		return reply.Outcome
 	})
-	raw, _ := json.Marshal(result) // Plain structs encode.
+	raw, _ := json.Marshal(result) // Encoding this struct never fails.
 	fmt.Fprintln(e.out, string(raw))
 	if result.Box.Failed > 0 {
 		return exitBad
@@ -131,9 +132,9 @@
 	return exitGood
 }
 
-// directCall returns a call of the executors without a box.
+// directCall returns a function that calls the executors directly, without a box.
 func directCall(base, name string, count int, payload string) func(context.Context, int) request.Outcome {
-	transport, _ := transportFor("") // It reads no file.
+	transport, _ := transportFor("") // Only reading an authority file can fail.
 	client := &http.Client{Transport: transport}
 	run := xid.New().String()
 	return func(ctx context.Context, number int) request.Outcome {
--- a/internal/cli/operate.go
+++ b/internal/cli/operate.go
@@ -29,7 +29,7 @@
 	if set.NArg() == 0 || !validFormat(*format) {
 		return e.usageError("ask", "a command is required, and -format text or json")
 	}
-	body, _ := json.Marshal(struct { // A string always encodes.
+	body, _ := json.Marshal(struct { // Encoding a string never fails.
 		Command string `json:"command"`
 	}{strings.Join(set.Args(), " ")})
 	raw, code := e.operate(&a, http.MethodPost, "/v1/ask", nil, body)
@@ -48,7 +48,8 @@
 	return exitGood
 }
 
-// operate sends one operator's call and returns the reply, or the code to exit with.
+// operate sends an operator's HTTP request. It returns the body of the reply and exitGood, or prints the error and
+// returns another exit code.
 func (e *env) operate(a *access, method, path string, header http.Header, body []byte) ([]byte, int) {
 	client, err := a.client()
 	if err != nil {
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// runOnPlatform runs a box with the settings file that the platform names, until SIGTERM.
+// runOnPlatform runs a box with the settings file that the platform names, until SIGTERM or an interrupt.
 func runOnPlatform(e *env, file string) int {
 	s, err := loadPlatform(file)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return platform.ParseSettings(file, raw)
 }
 
-// platformParts puts the platform's adapters together. The feeds have connections of their own, so that a call never
-// waits behind one.
+// platformParts returns the platform's adapters. Each client has its own connections, so that a call never waits behind
+// a long-running feed.
 func platformParts(s *node.Settings, log *zap.Logger) node.Platform {
 	return node.Platform{
 		Store:          &platform.Store{Address: s.Store, Client: platform.NewClient()},
@@ -60,21 +60,21 @@
 	}
 }
 
-// reloadOnHangup reads the settings again at each SIGHUP; a file with mistakes changes nothing.
+// reloadOnHangup reloads the settings at each SIGHUP. If the file is invalid, the settings in force are kept.
 func reloadOnHangup(n *node.Node, file string, log *zap.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	for range signals {
 		s, err := loadPlatform(file)
 		if err != nil {
-			log.Error("cli: settings not reloaded", logsink.Error(err))
+			log.Error("cli: unable to reload the settings; keeping the settings in force", logsink.Error(err))
 			continue
 		}
 		n.Reload(s)
 	}
 }
 
-// platformLog is a log of JSON lines.
+// platformLog returns a logger that writes JSON lines with the name of the box.
 func platformLog(sink *logsink.Sink, box string) *zap.Logger {
 	c := zap.NewProductionEncoderConfig()
 	c.TimeKey, c.EncodeTime = "time", zapcore.RFC3339NanoTimeEncoder
--- a/internal/cli/rig.go
+++ b/internal/cli/rig.go
@@ -10,7 +10,7 @@
 	"github.com/pulleyring/pulleyring/internal/rig"
 )
 
-// runRig plays a scenario with real processes, or is one of them.
+// runRig plays a scenario with real processes. Started as "rig role NAME", it runs as one of these processes.
 func runRig(e *env, args []string) int {
 	if len(args) == 2 && args[0] == "role" {
 		if err := rig.RunRole(args[1], os.Stdin, e.out); err != nil {
@@ -51,7 +51,7 @@
 	return exitGood
 }
 
-// playRig plays a scenario until its end or an interrupt; without a directory for them, logs are not kept.
+// playRig plays a scenario until its end or an interrupt. If keep names no directory, the logs are deleted afterwards.
 func playRig(e *env, scenario *rig.Scenario, keep string) (*rig.Verdict, error) {
 	program, err := os.Executable()
 	if err != nil {
--- a/internal/cli/script_test.go
+++ b/internal/cli/script_test.go
@@ -18,8 +18,7 @@
 	})
 }
 
-// TestScript runs the real commands by the scripts of testdata. A script finds the ports that it may use in $PORT0 to
-// $PORT9.
+// TestScript runs the scripts in testdata/script against the real commands. $PORT0 to $PORT9 are free ports for a script.
 func TestScript(t *testing.T) {
 	root, err := filepath.Abs(filepath.Join("..", ".."))
 	if err != nil {
@@ -54,7 +53,7 @@
 	return l.Addr().(*net.TCPAddr).Port, nil
 }
 
-// fill replaces the variables in files: fill FILE...
+// fill expands the environment variables in files: fill FILE...
 func fill(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		text := os.Expand(ts.ReadFile(name), func(key string) string {
@@ -64,7 +63,7 @@
 	}
 }
 
-// await waits until something listens on each port: await PORT...
+// await waits until every port accepts connections: await PORT...
 func await(_ *testscript.TestScript, _ bool, args []string) {
 	for _, port := range args {
 		for {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -12,7 +12,7 @@
 	"github.com/pulleyring/pulleyring/internal/rig"
 )
 
-// runSoak plays drawn faults with real processes.
+// runSoak runs real processes under randomly chosen faults and checks the outcome, once for each seed.
 func runSoak(e *env, args []string) int {
 	set := e.flags("soak")
 	seed := set.Uint64("seed", 1, "first `seed`")
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -11,7 +11,7 @@
 	"github.com/pulleyring/pulleyring/internal/standin"
 )
 
-// standinSettings is the settings file of the stand-ins.
+// standinSettings holds the settings of the stand-ins, which simulate the platform's services.
 type standinSettings struct {
 	Listen          string
 	WritesPerSecond int
@@ -48,7 +48,7 @@
 	}
 }
 
-// parseStandin reads the settings file of the stand-ins with every finding.
+// parseStandin parses the settings file of the stand-ins. The error lists every mistake found.
 func parseStandin(name string, raw []byte) (*standinSettings, error) {
 	s := defaultStandin()
 	options := s.options()
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -59,10 +59,10 @@
 
 func validFormat(format string) bool { return format == "text" || format == "json" }
 
-// printReply prints what a caller was told; what is neither done nor accepted exits non-zero.
+// printReply prints the reply and returns the exit code, which is 0 only if the request is done or accepted.
 func printReply(e *env, r request.Reply, format string) int {
 	if format == "json" {
-		raw, _ := json.Marshal(r) // A reply that was decoded always encodes.
+		raw, _ := json.Marshal(r) // Encoding a decoded reply never fails.
 		fmt.Fprintln(e.out, string(raw))
 	} else {
 		fmt.Fprintf(e.out, "%s: %s", r.ID, r.Outcome)
--- a/internal/cli/transport.go
+++ b/internal/cli/transport.go
@@ -9,7 +9,7 @@
 	"github.com/pulleyring/pulleyring/internal/identity"
 )
 
-// Sizes of the connection pools.
+// Sizes and timeouts of the connection pools.
 const (
 	idleConns        = 4096
 	idleConnsPerHost = 1024
@@ -17,7 +17,8 @@
 	idleFor          = 90 * time.Second
 )
 
-// transportFor returns a transport that trusts an authority, or only plain HTTP's peers where the file is empty.
+// transportFor returns an HTTP transport that trusts only the authority in a PEM file. If the file name is empty, it
+// keeps Go's default TLS settings.
 func transportFor(authority string) (*http.Transport, error) {
 	t := &http.Transport{
 		MaxIdleConns: idleConns, MaxIdleConnsPerHost: idleConnsPerHost, IdleConnTimeout: idleFor,
--- a/internal/cli/trial.go
+++ b/internal/cli/trial.go
@@ -28,7 +28,7 @@
 	return exitGood
 }
 
-// mostSeeds bounds the seeds of one comparison.
+// mostSeeds is the largest number of seeds in one comparison.
 const mostSeeds = 1000
 
 func parseSeeds(text string) ([]uint64, error) {
--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -10,7 +10,8 @@
 	"github.com/pulleyring/pulleyring/internal/node"
 )
 
-// runWhy prints how a job stands and why, as the box that schedules tells it, or any other where that one does not answer.
+// runWhy prints the state of a job and the reason, as reported by the scheduling box or, if that box doesn't answer,
+// by any other.
 func runWhy(e *env, args []string) int {
 	set := e.flags("why")
 	boxes := set.String("boxes", defaultFigures, "base `URLs` of the boxes' figures, by commas")
@@ -29,7 +30,7 @@
 	return exitGood
 }
 
-// askWhy asks one box after the other until the one that schedules answers.
+// askWhy queries one box after another until the scheduling box answers. Otherwise it returns the last report received.
 func askWhy(boxes []string, job string) (*node.WhyReport, error) {
 	var best *node.WhyReport
 	var failed error
--- a/internal/cli/why_test.go
+++ b/internal/cli/why_test.go
@@ -18,7 +18,7 @@
 	)
 	tests := []struct {
 		name   string
-		bodies []string // By box; empty for one that does not know the job.
+		bodies []string // One for each box; empty if the box doesn't know the job.
 		wants  []string
 		code   int
 	}{
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the operators' small query and command language.
+// Package command parses the operators' query and command language, and filters the lists that answer it.
 package command
 
 import (
@@ -39,12 +39,12 @@
 	Value    string `parser:"@(Word|Number|Decimal|String|Duration)"`
 }
 
-// Why asks for the binding reason of a job.
+// Why asks why a job is waiting.
 type Why struct {
 	Job string `parser:"@(Word|String|Number)"`
 }
 
-// Grant raises a workspace's limit for a time.
+// Grant raises a workspace's limit of accelerators for a time.
 type Grant struct {
 	Workspace    string   `parser:"@(Word|String)"`
 	Accelerators int      `parser:"@Number"`
@@ -57,18 +57,18 @@
 	For       Duration `parser:"('for' @Duration)?"`
 }
 
-// Revoke ends the grants and claims of a workspace.
+// Revoke ends all grants and claims of a workspace.
 type Revoke struct {
 	Workspace string `parser:"@(Word|String)"`
 }
 
-// Target names a worker, rack, hall or upstream; the kind may be left out where the name is unique.
+// Target names a worker, rack, hall or upstream. Kind may be empty if the name is unique.
 type Target struct {
 	Kind string `parser:"@('worker'|'rack'|'hall'|'upstream')?"`
 	Name string `parser:"@(Word|String)"`
 }
 
-// Cancel ends one job or all that meet the conditions.
+// Cancel cancels one job, or all jobs that match the conditions.
 type Cancel struct {
 	Where []Condition `parser:"(  'where' @@ ('and' @@)*"`
 	Job   string      `parser:" | @(Word|String|Number) )"`
@@ -84,14 +84,14 @@
 	return err
 }
 
-// Mistake says where a command goes wrong and what was expected there.
+// Mistake is an error in the text of a command, with its position and what was expected there.
 type Mistake struct {
-	Column   int    `json:"column"` // From 1.
+	Column   int    `json:"column"` // Counted from 1.
 	Problem  string `json:"problem"`
 	Expected string `json:"expected,omitempty"`
 }
 
-// Error returns the mistake as one line.
+// Error returns the position, the problem and what was expected, in one line.
 func (m *Mistake) Error() string {
 	text := fmt.Sprintf("command: column %d: %s", m.Column, m.Problem)
 	if m.Expected != "" {
@@ -117,7 +117,7 @@
 	participle.UseLookahead(2),
 )
 
-// Forms lists the forms of all commands, for help.
+// Forms is the help text with the syntax of all commands.
 const Forms = `show jobs|requests|racks|workers|boxes|workspaces|upstreams|settings
      [where COLUMN =|!=|<|>|<=|>=|~ VALUE [and ...]] [order by COLUMN [desc]] [limit N]
 why JOB
@@ -129,10 +129,10 @@
 cancel JOB | cancel where COLUMN = VALUE [and ...]
 `
 
-// verbs are the words that a command can begin with.
+// verbs lists the words that can start a command.
 const verbs = "show, why, grant, reclaim, revoke, drain, undrain or cancel"
 
-// Parse reads one command; the error is a *Mistake.
+// Parse parses one command. An error is always a *Mistake.
 func Parse(text string) (*Command, error) {
 	c, err := parser.ParseString("", strings.TrimSpace(text))
 	if err == nil {
--- a/internal/command/list.go
+++ b/internal/command/list.go
@@ -9,26 +9,26 @@
 	"text/tabwriter"
 )
 
-// List is the answer to a command: rows of text under columns, or a sentence.
+// List is the answer to a command: a table of text cells, or a sentence.
 type List struct {
 	Columns  []string   `json:"columns,omitempty"`
 	Rows     [][]string `json:"rows,omitempty"`
 	Text     string     `json:"text,omitempty"`
-	Affected int        `json:"affected"` // Things that a command changed.
+	Affected int        `json:"affected"` // Number of objects that the command changed.
 	Refused  bool       `json:"refused,omitempty"`
 }
 
-// Refuse returns an answer that says why a command was not carried out.
+// Refuse returns the answer to a command that is refused, with the reason.
 func Refuse(format string, args ...any) *List {
 	return &List{Text: fmt.Sprintf(format, args...), Refused: true}
 }
 
-// Did returns an answer that says what a command did and to how many.
+// Did returns the answer to a command that was carried out, with the number of objects that it changed.
 func Did(affected int, format string, args ...any) *List {
 	return &List{Text: fmt.Sprintf(format, args...), Affected: affected}
 }
 
-// Check reports columns that conditions or the order name and the list does not have.
+// Check returns an error if the conditions or the sort order name a column that the list doesn't have.
 func (l *List) Check(where []Condition, orderBy string) error {
 	for _, c := range where {
 		if !slices.Contains(l.Columns, c.Column) {
@@ -45,7 +45,7 @@
 	return &Mistake{Column: 1, Problem: fmt.Sprintf("there is no column %q", column), Expected: strings.Join(l.Columns, ", ")}
 }
 
-// Apply keeps the rows that meet the conditions, orders them and cuts them to the limit.
+// Apply filters the rows by the conditions, sorts them and truncates them to the limit.
 func (l *List) Apply(s *Show) error {
 	if err := l.Check(s.Where, s.OrderBy); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Meets reports whether a row meets every condition.
+// Meets reports whether a row matches every condition.
 func (l *List) Meets(row []string, where []Condition) bool {
 	for _, c := range where {
 		if !c.holds(row[slices.Index(l.Columns, c.Column)]) {
@@ -96,7 +96,7 @@
 	return strings.Contains(cell, c.Value)
 }
 
-// compareCells compares as numbers where both are, else as text.
+// compareCells compares two cells as numbers if both are numbers, and as text otherwise.
 func compareCells(x, y string) int {
 	a, errA := strconv.ParseFloat(x, 64)
 	b, errB := strconv.ParseFloat(y, 64)
@@ -106,7 +106,7 @@
 	return cmp.Compare(x, y)
 }
 
-// String returns the list as a table of text.
+// String returns the list as an aligned text table, or its sentence if it has no columns.
 func (l *List) String() string {
 	if len(l.Columns) == 0 {
 		return l.Text
@@ -117,6 +117,6 @@
 	for _, row := range l.Rows {
 		fmt.Fprintln(w, strings.Join(row, "\t"))
 	}
-	_ = w.Flush() // A strings.Builder takes everything.
+	_ = w.Flush() // Writing to a strings.Builder never fails.
 	return strings.TrimRight(text.String(), "\n")
 }
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -12,20 +12,21 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// Keys of the rows of the site.
+// Keys of the table rows that hold the configuration and the orders.
 const (
 	Prefix    = "site/"
 	SiteKey   = Prefix + "configuration"
 	OrdersKey = Prefix + "orders"
 )
 
-// Keeper holds what is in force in a box. It adopts higher versions only, from the table or from another box.
+// Keeper holds the configuration and the orders that are in force in a box. It adopts them from the table or from
+// another box, and only if their version is higher.
 type Keeper struct {
 	Table   table.Service
-	Changed func(text string) // Called after something new came into force; may be nil.
+	Changed func(text string) // Called after a new version came into force; may be nil.
 
 	mu        sync.Mutex
-	asked     bool // The table has told at least once what there is.
+	asked     bool // The rows were read from the table at least once.
 	site      *contract.Site
 	siteDoc   link.Document
 	orders    Orders
@@ -33,19 +34,19 @@
 	callers   map[string]contract.Caller
 }
 
-// siteRow is the value of the row of the configuration.
+// siteRow is the value of the configuration's row.
 type siteRow struct {
 	Text string `json:"text"` // The INI document.
 }
 
-// Site returns the configuration in force, nil before the first; callers must not change it.
+// Site returns the configuration in force, or nil if there is none yet. Callers must not change it.
 func (k *Keeper) Site() *contract.Site {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.site
 }
 
-// Known reports whether the box knows the configuration, or knows that there is none yet.
+// Known reports whether the box has a configuration, or has read from the table that there is none yet.
 func (k *Keeper) Known() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -59,7 +60,7 @@
 	return k.orders
 }
 
-// Caller returns a caller of the configuration in force.
+// Caller returns the caller of a name in the configuration in force, and whether there is one.
 func (k *Keeper) Caller(name string) (contract.Caller, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -67,14 +68,14 @@
 	return c, ok
 }
 
-// Versions returns the versions in force.
+// Versions returns the versions of the configuration and the orders in force.
 func (k *Keeper) Versions() (siteVersion, ordersVersion int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.siteDoc.Version, k.ordersDoc.Version
 }
 
-// Documents returns what is in force for passing it on.
+// Documents returns the configuration and the orders in force as documents to send to other boxes.
 func (k *Keeper) Documents() (siteDoc, orders *link.Document) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -82,14 +83,14 @@
 	return &s, &o
 }
 
-// AdoptSite takes a configuration over where its version is higher, and reports whether it did.
+// AdoptSite puts a configuration in force if its version is higher, and reports whether it did.
 func (k *Keeper) AdoptSite(doc link.Document) (bool, error) {
 	if current, _ := k.Versions(); doc.Version <= current {
 		return false, nil
 	}
 	parsed, err := site.Parse("configuration", []byte(doc.Text))
 	if err != nil {
-		return false, errors.Wrapf(err, "config: version %d can't be read", doc.Version)
+		return false, errors.Wrapf(err, "config: unable to parse configuration version %d", doc.Version)
 	}
 	parsed.Version = doc.Version
 	k.mu.Lock()
@@ -106,11 +107,11 @@
 	return true, nil
 }
 
-// AdoptOrders takes orders over where their version is higher, and reports whether it did.
+// AdoptOrders puts orders in force if their version is higher, and reports whether it did.
 func (k *Keeper) AdoptOrders(doc link.Document) (bool, error) {
 	var orders Orders
 	if err := json.Unmarshal([]byte(doc.Text), &orders); err != nil && doc.Version > 0 {
-		return false, errors.Wrap(err, "config: the orders can't be read")
+		return false, errors.Wrap(err, "config: unable to decode the orders")
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -122,11 +123,11 @@
 	return true, nil
 }
 
-// Refresh reads both rows from the table and adopts what is newer.
+// Refresh reads both rows from the table and adopts the newer versions.
 func (k *Keeper) Refresh(ctx context.Context) error {
 	rows, err := k.Table.Read(ctx, []string{SiteKey, OrdersKey})
 	if err != nil {
-		return errors.Wrap(err, "config: unable to read")
+		return errors.Wrap(err, "config: unable to read the configuration and orders from the table")
 	}
 	k.mu.Lock()
 	k.asked = true
@@ -134,7 +135,7 @@
 	if rows[0].Version > 0 {
 		var value siteRow
 		if err := json.Unmarshal(rows[0].Value, &value); err != nil {
-			return errors.Wrap(err, "config: unable to decode")
+			return errors.Wrap(err, "config: unable to decode the configuration row")
 		}
 		if err := k.adopt(&link.Document{Version: rows[0].Version, Text: value.Text}, nil); err != nil {
 			return err
@@ -143,7 +144,7 @@
 	return k.adopt(nil, &link.Document{Version: rows[1].Version, Text: string(rows[1].Value)})
 }
 
-// AdoptReply takes over what another box passed on.
+// AdoptReply adopts the newer versions from another box's reply.
 func (k *Keeper) AdoptReply(r *link.Reply) error { return k.adopt(r.Site, r.Orders) }
 
 func (k *Keeper) adopt(siteDoc, orders *link.Document) error {
@@ -170,7 +171,7 @@
 	}
 }
 
-// SiteOp returns the operation that commits a configuration in place of the version in force.
+// SiteOp returns the operation that replaces the configuration in force. It conflicts if the row has changed since.
 func (k *Keeper) SiteOp(text string) table.Op {
 	version, _ := k.Versions()
 	return table.Op{
@@ -180,7 +181,7 @@
 	}
 }
 
-// OrdersOp returns the operation that commits orders in place of the version in force.
+// OrdersOp returns the operation that replaces the orders of a version. It conflicts if the row has changed since.
 func (k *Keeper) OrdersOp(orders Orders, version int64) table.Op {
 	return table.Op{
 		Priority: table.Reclaim,
--- a/internal/config/orders.go
+++ b/internal/config/orders.go
@@ -1,4 +1,5 @@
-// Package config keeps the site's configuration and the operators' orders in force in a box; both move forward only.
+// Package config holds the site configuration and the operators' orders that are in force in a box.
+// Their versions only increase.
 package config
 
 import (
@@ -6,14 +7,14 @@
 	"time"
 )
 
-// Orders is the row of what operators ordered and what still holds.
+// Orders is the value of the row that records the operators' orders: drains, claims and grants.
 type Orders struct {
 	Drains []Drain `json:"drains,omitempty"`
 	Claims []Claim `json:"claims,omitempty"`
 	Grants []Grant `json:"grants,omitempty"`
 }
 
-// Drain keeps new work from a worker, rack, hall or upstream.
+// Drain records that a worker, rack, hall or upstream gets no new work.
 type Drain struct {
 	What     string    `json:"what"` // worker, rack, hall or upstream.
 	Name     string    `json:"name"`
@@ -21,14 +22,14 @@
 	At       time.Time `json:"at"`
 }
 
-// Claim asks for a workspace's whole guarantee until an instant.
+// Claim records that a workspace claims its whole guarantee until a time.
 type Claim struct {
 	Workspace string    `json:"workspace"`
 	Operator  string    `json:"operator"`
 	Until     time.Time `json:"until"`
 }
 
-// Grant raises a workspace's limit until an instant.
+// Grant raises a workspace's limit of accelerators until a time.
 type Grant struct {
 	Workspace    string    `json:"workspace"`
 	Accelerators int       `json:"accelerators"`
@@ -36,12 +37,12 @@
 	Until        time.Time `json:"until"`
 }
 
-// Drained reports whether something is drained.
+// Drained reports whether the worker, rack, hall or upstream of a name is drained.
 func (o *Orders) Drained(what, name string) bool {
 	return slices.ContainsFunc(o.Drains, func(d Drain) bool { return d.What == what && d.Name == name })
 }
 
-// Claimed returns the workspaces whose claims hold at an instant, sorted.
+// Claimed returns the sorted names of the workspaces whose claims are valid at a time.
 func (o *Orders) Claimed(now time.Time) []string {
 	var list []string
 	for _, c := range o.Claims {
@@ -53,7 +54,7 @@
 	return list
 }
 
-// Granted returns the accelerators granted to a workspace beyond its limit at an instant.
+// Granted returns the number of accelerators granted to a workspace beyond its limit at a time.
 func (o *Orders) Granted(workspace string, now time.Time) int {
 	sum := 0
 	for _, g := range o.Grants {
@@ -64,7 +65,7 @@
 	return sum
 }
 
-// Current returns the orders without what has ended by an instant.
+// Current returns the orders without the claims and grants that have expired at a time.
 func (o *Orders) Current(now time.Time) Orders {
 	return Orders{
 		Drains: slices.Clone(o.Drains),
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -15,19 +15,19 @@
 	"github.com/pkg/errors"
 )
 
-// validity is how long made certificates hold.
+// validity is the time from issue to expiry of certificates.
 const validity = 825 * 24 * time.Hour
 
-// serialBits is the size of a certificate's random serial number.
+// serialBits is the size of a certificate's random serial number in bits.
 const serialBits = 120
 
-// Authority signs the certificates by which boxes know each other.
+// Authority signs the certificates with which boxes authenticate each other.
 type Authority struct {
 	Certificate *x509.Certificate
 	Key         ed25519.PrivateKey
 }
 
-// NewAuthority makes an authority for a site.
+// NewAuthority returns a new authority for a site.
 func NewAuthority(site string) (*Authority, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return &Authority{Certificate: cert, Key: private}, errors.Wrap(err, "identity: unable to make an authority")
 }
 
-// Issue makes a certificate for a box or listener with its IP addresses.
+// Issue returns a new signed certificate for a box or listener with its IP addresses.
 func (a *Authority) Issue(name string, addresses ...net.IP) (tls.Certificate, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -75,14 +75,14 @@
 	}
 }
 
-// Pool returns the authority as the only trusted root.
+// Pool returns a certificate pool with the authority as the only trusted root.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.Certificate)
 	return pool
 }
 
-// WriteCertificate writes certificate and private key as PEM files; the key is readable by its owner only.
+// WriteCertificate writes a certificate and its private key as PEM files. Only the file's owner can read the key.
 func WriteCertificate(cert tls.Certificate, certFile, keyFile string) error {
 	raw, err := x509.MarshalPKCS8PrivateKey(cert.PrivateKey)
 	if err != nil {
@@ -95,13 +95,13 @@
 	return errors.Wrap(os.WriteFile(keyFile, block, 0o600), "identity: unable to write a key")
 }
 
-// WriteAuthority writes one certificate as a PEM file.
+// WriteAuthority writes the certificate of an authority as a PEM file.
 func WriteAuthority(raw []byte, file string) error {
 	block := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw})
 	return errors.Wrap(os.WriteFile(file, block, 0o600), "identity: unable to write a certificate")
 }
 
-// LoadPool reads an authority from a PEM file.
+// LoadPool returns a certificate pool with the authorities of a PEM file.
 func LoadPool(file string) (*x509.CertPool, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, errors.Errorf("identity: %s holds no certificate", file)
+		return nil, errors.Errorf("identity: %s contains no certificate", file)
 	}
 	return pool, nil
 }
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,4 +1,4 @@
-// Package identity tells callers and operators apart by their keys.
+// Package identity authenticates callers and operators by their keys, and boxes by certificates.
 package identity
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/pkg/errors"
 )
 
-// ErrUnknown says that a key is missing or wrong; it never tells which.
+// ErrUnknown reports that a key is missing or wrong. It doesn't reveal which, so that names can't be probed.
 var ErrUnknown = errors.New("identity: the key is missing or wrong")
 
 // keyBytes is the number of random bytes in a key.
 const keyBytes = 32
 
-// absentHash is compared against where a name is unknown, so that both cases take the same time.
+// absentHash is compared with the key if the name is unknown, so that unknown names and wrong keys take the same time.
 var absentHash = strings.Repeat("0", sha256.Size*2)
 
-// NewKey returns a fresh key for a name, NAME.SECRET, and the hash that a configuration holds.
+// NewKey returns a new random key of the form NAME.SECRET, and its hash for the configuration.
 func NewKey(name string) (key, hash string) {
 	secret := make([]byte, keyBytes)
 	_, _ = rand.Read(secret) // crypto/rand never fails.
@@ -36,7 +36,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Name returns the name in a request's bearer key and the key.
+// Name returns the bearer key of a request and the name that the key contains.
 func Name(r *http.Request) (name, key string, err error) {
 	key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found {
@@ -49,7 +49,7 @@
 	return name, key, nil
 }
 
-// Matches compares a key with a stored hash in constant time; an empty hash matches nothing.
+// Matches reports whether a key has the stored hash, in constant time. An empty hash matches no key.
 func Matches(key, hash string) bool {
 	known := hash != ""
 	if !known {
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,4 +1,4 @@
-// Package inifile reads INI documents and reports every mistake with its line.
+// Package inifile parses INI documents and reports every mistake with its line number.
 package inifile
 
 import (
@@ -8,13 +8,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// File is one parsed document; Findings grows while its sections are read.
+// File is one parsed document. Reading its sections adds to Findings.
 type File struct {
 	Name     string
 	Findings finding.List
 
 	file  *ini.File
-	lines map[string]int // Section, a line feed and the key, to the line number.
+	lines map[string]int // Line numbers by section name, line feed and key; the key is empty for the section itself.
 }
 
 // Section is one section; Kind is the part of its name before the first dot and Name the part after it.
@@ -27,7 +27,7 @@
 	body  *ini.Section
 }
 
-// Parse reads a document; what can't be parsed is a finding.
+// Parse parses a document and adds syntax errors to its findings.
 func Parse(name string, raw []byte) *File {
 	f := &File{Name: name, lines: map[string]int{}}
 	f.index(string(raw))
@@ -41,7 +41,7 @@
 	return f
 }
 
-// index remembers the line of every section and key, and reports lines that are neither and keys that stand twice.
+// index records the line number of every section and key. It reports duplicates and lines that are neither.
 func (f *File) index(text string) {
 	section := ""
 	for i, line := range strings.Split(text, "\n") {
@@ -90,7 +90,7 @@
 	return f.Name + ":" + itoa(line)
 }
 
-// Sections returns the sections of the document in their order, without the unnamed one.
+// Sections returns the named sections in the order of the document.
 func (f *File) Sections() []Section {
 	var list []Section
 	for _, s := range f.file.Sections() {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Add reports a finding about a key of the section; an empty key stands for the section.
+// Add adds a finding about a key of the section, or about the section itself if the key is empty.
 func (s Section) Add(key, allowed, problem string, args ...any) {
 	line := s.owner.lines[s.full+"\n"+key]
 	if line == 0 {
--- a/internal/inifile/option.go
+++ b/internal/inifile/option.go
@@ -14,7 +14,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Form says how the text of an option is read beyond the type of its target.
+// Form restricts the text of an option whose target is a string.
 type Form int
 
 // The forms of text options.
@@ -26,8 +26,8 @@
 	Hash                // Hex SHA-256.
 )
 
-// Option is one documented key; Target is a pointer to string, int, float64, bool, []string or time.Duration
-// (given in the file as whole milliseconds).
+// Option describes one key of a section. Target is a pointer to string, int, float64, bool, []string or time.Duration;
+// the file gives durations as whole milliseconds.
 type Option struct {
 	Key      string
 	Doc      string
@@ -39,7 +39,8 @@
 	Required bool
 }
 
-// Read sets the targets of the options from the section and reports what is wrong, unknown keys too.
+// Read sets the targets of the options from the section. It reports invalid values, missing required keys and
+// unknown keys.
 func (s Section) Read(options []Option) {
 	known := make([]string, len(options))
 	for i, o := range options {
@@ -143,7 +144,7 @@
 	return err == nil
 }
 
-// ValidName reports whether text is made of letters, digits, - and _ only.
+// ValidName reports whether text is not empty and consists of ASCII letters, digits, - and _ only.
 func ValidName(text string) bool {
 	for _, r := range text {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
@@ -173,7 +174,7 @@
 	return fmt.Sprintf("%s from %g", text, o.Min)
 }
 
-// Describe writes the options of a section with units and defaults, which are the present values of the targets.
+// Describe writes the documentation of a section's options. The current values of the targets are the defaults.
 func Describe(w io.Writer, section string, options []Option) {
 	fmt.Fprintf(w, "[%s]\n", section)
 	for _, o := range options {
--- a/internal/operator/cancel.go
+++ b/internal/operator/cancel.go
@@ -10,10 +10,10 @@
 	"github.com/pulleyring/pulleyring/internal/table"
 )
 
-// cancelsAtOnce bounds the cancellations of one command that wait for the table together.
+// cancelsAtOnce limits the concurrent cancellations of one command.
 const cancelsAtOnce = 256
 
-// cancel ends one job, or all that meet the conditions.
+// cancel cancels one job, or all jobs that match the conditions.
 func (d *Desk) cancel(ctx context.Context, name string, c *command.Cancel) (*command.List, error) {
 	targets, refusal, err := d.targets(ctx, c)
 	if err != nil || refusal != nil {
@@ -28,7 +28,7 @@
 	return answer, nil
 }
 
-// target is a job with the keeper of its hall.
+// target is a job to cancel, with the controller of its hall.
 type target struct {
 	keeper *hall.Keeper
 	entry  *hall.Entry
@@ -61,7 +61,8 @@
 	return list, nil, nil
 }
 
-// cancelCounts says what became of the jobs of one command.
+// cancelCounts counts the jobs of one command by result: cancelled before they ran, told to stop, too late to cancel,
+// and unknown because the table did not answer.
 type cancelCounts struct{ unrun, stopping, past, open int }
 
 func (d *Desk) cancelAll(ctx context.Context, name string, targets []target) cancelCounts {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator carries out the operators' commands in a box.
+// Package operator runs the operators' commands in a box.
 package operator
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/pulleyring/pulleyring/internal/upstream"
 )
 
-// Desk carries out commands. Fill in the exported fields before use.
+// Desk runs commands. Set the exported fields before use.
 type Desk struct {
 	Box       string
 	Settings  *settings.Box
@@ -34,8 +34,8 @@
 	News      func(prefix string)
 }
 
-// Run carries out one command of an operator. The error is a *command.Mistake, or says that the table or another box
-// could not be asked.
+// Run parses and runs one command of an operator. It returns a *command.Mistake if the command is invalid, and another
+// error if the table or another box did not answer.
 func (d *Desk) Run(ctx context.Context, name, text string) (*command.List, error) {
 	c, err := command.Parse(text)
 	if err != nil {
@@ -56,7 +56,8 @@
 	return d.order(ctx, name, c)
 }
 
-// order changes the row of orders; where another operator changed it meanwhile, the command is judged anew.
+// order applies a command to the orders and commits them. If another operator has changed the orders meanwhile, it
+// applies the command again to the new version.
 func (d *Desk) order(ctx context.Context, name string, c *command.Command) (*command.List, error) {
 	for {
 		if err := d.Config.Refresh(ctx); err != nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// change applies a command to the orders and says what it did.
+// change applies a command to the orders and returns the answer, which says what changed.
 func (d *Desk) change(o *config.Orders, name string, c *command.Command) *command.List {
 	switch {
 	case c.Drain != nil:
@@ -99,7 +100,7 @@
 	return d.revoke(o, c.Revoke)
 }
 
-// Default lengths of orders that name none.
+// Default durations of claims and grants.
 const (
 	defaultClaim = 10 * time.Minute
 	defaultGrant = time.Hour
@@ -195,7 +196,7 @@
 	return command.Did(0, "%s %s is not drained; nothing changed", kind, t.Name)
 }
 
-// resolve finds out what kind of thing a name is, or refuses.
+// resolve returns the kind of the target, or a refusal if its name is unknown or ambiguous.
 func (d *Desk) resolve(t *command.Target) (string, *command.List) {
 	site := d.Config.Site()
 	var kinds []string
@@ -232,7 +233,7 @@
 	return kind
 }
 
-// why asks the box that decides for the job's hall.
+// why returns the state of a job. For a waiting job it asks the box that schedules the job's hall for the reason.
 func (d *Desk) why(ctx context.Context, job string) (*command.List, error) {
 	k, e, err := d.find(ctx, job)
 	if err != nil {
@@ -259,7 +260,7 @@
 	return command.Did(0, "%s in %s %s", e.Key(), k.Hall, text), nil
 }
 
-// find returns the unfinished job that a key, or an id alone, names.
+// find returns the unfinished job with a key or an ID, or nil if there is none.
 func (d *Desk) find(ctx context.Context, job string) (*hall.Keeper, *hall.Entry, error) {
 	for _, k := range d.Keepers() {
 		if err := k.Book.Refresh(ctx); err != nil {
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -14,7 +14,7 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// show lists one kind of thing.
+// show returns the list that a show command asks for.
 func (d *Desk) show(ctx context.Context, s *command.Show) (*command.List, error) {
 	var list *command.List
 	var err error
@@ -42,7 +42,7 @@
 	return list, list.Apply(s)
 }
 
-// listJobs lists the unfinished gangs of all halls.
+// listJobs lists the unfinished gangs of all halls, and returns a target for each row.
 func (d *Desk) listJobs(ctx context.Context) (*command.List, []target, error) {
 	list := &command.List{Columns: []string{"job", "hall", "state", "workspace", "kind", "gang", "accelerators", "age", "rack", "attempt", "urgent", "at_most_once"}}
 	var targets []target
@@ -64,7 +64,7 @@
 
 func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 1, 64) }
 
-// listRequests lists the small requests that this box settled last or has under way.
+// listRequests lists the small requests that this box has in progress or settled recently.
 func (d *Desk) listRequests() *command.List {
 	list := &command.List{Columns: []string{"request", "workspace", "kind", "outcome", "age", "took"}}
 	for _, r := range d.Intake.Recent() {
@@ -125,7 +125,7 @@
 	return list
 }
 
-// listBoxes lists the boxes that this one believes alive, and the halls that it believes they are preferred for.
+// listBoxes lists the boxes that this box considers alive, and the halls for which it considers each the preferred box.
 func (d *Desk) listBoxes() *command.List {
 	list := &command.List{Columns: []string{"box", "hall", "listen", "leaving", "site_version", "orders_version", "preferred_for"}}
 	site, orders := d.Config.Versions()
@@ -184,7 +184,7 @@
 	return list
 }
 
-// listSettings lists which versions are in force in which box.
+// listSettings lists the versions of the configuration and the orders that are in force in each box.
 func (d *Desk) listSettings() *command.List {
 	list := &command.List{Columns: []string{"box", "site_version", "orders_version", "completion_weight", "reclaim_seconds", "newest"}}
 	site, orders := d.Config.Versions()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings holds what one process reads from its settings file.
+// Package settings parses the settings file of a box.
 package settings
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// Box is the settings of one box.
+// Box holds the settings of one box.
 type Box struct {
 	Name       string
-	Hall       string // Its own availability zone.
+	Hall       string // Availability zone in which the box runs.
 	Listen     string // IP:port for callers and operators.
 	LinkListen string // IP:port, UDP, for other boxes.
 
@@ -27,58 +27,59 @@
 	Limits Limits
 	Log    Log
 
-	Operators []contract.Operator // Known before any site configuration is committed.
+	Operators []contract.Operator // May give commands before any site configuration is committed.
 }
 
-// Keys names the files with the box's keys.
+// Keys holds the names of the files with the box's certificates and keys, all in PEM.
 type Keys struct {
-	LinkCertificate string // Certificate towards other boxes, PEM.
-	LinkKey         string // Its private key, PEM.
-	LinkAuthority   string // Authority that signs the boxes' certificates, PEM.
-	TLSCertificate  string // Certificate towards callers and operators; empty serves without TLS.
+	LinkCertificate string // Certificate for connections to other boxes.
+	LinkKey         string // Private key of LinkCertificate.
+	LinkAuthority   string // Certificate of the authority that signs the boxes' certificates.
+	TLSCertificate  string // Certificate for connections from callers and operators; empty disables TLS.
 	TLSKey          string
 }
 
-// Budget is what all boxes together may ask of the table.
+// Budget limits the rate of table calls of all boxes together.
 type Budget struct {
 	WritesPerSecond int
 	ReadsPerSecond  int
 }
 
-// Lease holds the lengths of the leases at workers.
+// Lease holds the durations of the leases on workers.
 type Lease struct {
-	Hold  time.Duration // From hold to go.
-	Run   time.Duration // Between renewals of a running gang.
+	Hold  time.Duration // From holding a worker to starting the work there.
+	Run   time.Duration // Time to live of a running gang's lease after a renewal.
 	Renew time.Duration // Interval of renewals.
-	// Unchecked is how long a box renews from rows that it can't check against the table, where another may have written since that the gang stops.
+	// Unchecked limits how long a box renews leases while it can't read the table. Another box may meanwhile have
+	// recorded there that the gang is to stop.
 	Unchecked time.Duration
 }
 
-// Timing holds intervals and delays.
+// Timing holds intervals, timeouts and delays.
 type Timing struct {
-	Pass          time.Duration // Between two passes of a hall's decider.
-	Refresh       time.Duration // Between two looks at the table without news.
+	Pass          time.Duration // Interval of a hall's scheduling passes.
+	Refresh       time.Duration // Interval of reading the table when no change is announced.
 	Heartbeat     time.Duration
-	DeadAfter     time.Duration // Silence after which a box counts as dead.
-	BalancerDelay time.Duration // Time the balancer takes to notice "not ready".
-	StopWithin    time.Duration // Most time that a planned stop waits for work in flight.
-	LinkDelay     time.Duration // One-way delay added to messages between halls, to try a site's distances on loopback.
+	DeadAfter     time.Duration // Time without a heartbeat after which a box is considered dead.
+	BalancerDelay time.Duration // Time that the load balancer needs to notice that a box is not ready.
+	StopWithin    time.Duration // Longest time that a planned stop waits for requests in flight.
+	LinkDelay     time.Duration // One-way delay added to messages between halls, to simulate a site's distances on loopback.
 }
 
-// Limits bounds what a box keeps and takes.
+// Limits bounds the requests that a box accepts and the data that it keeps.
 type Limits struct {
 	BodyBytes         int
-	InFlight          int // Small requests at once.
+	InFlight          int // Small requests in progress at the same time.
 	WaitingPerSpace   int // Unfinished jobs of one workspace.
 	TimelineEvents    int
-	RetryShare        float64 // Retries allowed as a share of first tries.
-	EjectShare        float64 // Most upstreams ejected at once, as a share.
+	RetryShare        float64 // Allowed retries as a share of first attempts, from 0 to 1.
+	EjectShare        float64 // Largest share of upstreams ejected at the same time, from 0 to 1.
 	UpstreamTimeout   time.Duration
-	UnrecordedSettled int // Settled repeatable requests whose record waits for the table.
-	AnswerInlineBytes int // Larger answers go to the object store.
+	UnrecordedSettled int // Settled repeatable requests that are not yet recorded in the table.
+	AnswerInlineBytes int // Larger answers are written to the object store.
 }
 
-// Log says what is logged.
+// Log holds the settings of logging.
 type Log struct {
 	Level string
 }
@@ -102,7 +103,7 @@
 	}
 }
 
-// section is one section of the settings file with its options.
+// section describes one section of the settings file.
 type section struct {
 	name    string
 	options []inifile.Option
@@ -172,7 +173,7 @@
 	}
 }
 
-// Parse reads a box's settings and returns them with every finding.
+// Parse parses a box's settings. The error lists every mistake found.
 func Parse(name string, raw []byte) (*Box, error) {
 	file := inifile.Parse(name, raw)
 	box := Defaults()
@@ -218,7 +219,7 @@
 	b.Operators = append(b.Operators, o)
 }
 
-// checkSection reports values that do not go together.
+// checkSection reports values of a section that contradict each other.
 func (b *Box) checkSection(s inifile.Section) {
 	switch s.Kind {
 	case "lease":
@@ -239,7 +240,7 @@
 	}
 }
 
-// Describe writes every option of the settings file of a box.
+// Describe writes the documentation of every option in a box's settings file.
 func Describe(w io.Writer) {
 	box := Defaults()
 	for _, s := range box.sections() {
--- a/internal/site/options.go
+++ b/internal/site/options.go
@@ -5,7 +5,7 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// rackForm is a rack section: workers of one kind.
+// rackForm holds the options of a rack section: a number of identical workers.
 type rackForm struct {
 	Hall                         string
 	Address                      string
@@ -13,7 +13,7 @@
 	CPUs, MemoryGB, Accelerators int
 }
 
-// upstreamForm is a section of executors of one kind.
+// upstreamForm holds the options of an upstreams section: a number of identical executors.
 type upstreamForm struct {
 	Hall, Address             string
 	Count, Slots, Connections int
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,4 +1,4 @@
-// Package site reads a site's configuration from its INI document and checks it.
+// Package site parses and validates a site's configuration, an INI document.
 package site
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// Defaults returns an empty site with the default of every option.
+// Defaults returns an empty site with the default values of the site section's options.
 func Defaults() contract.Site {
 	return contract.Site{
 		CompletionWeight:   0.5,
@@ -22,7 +22,8 @@
 	}
 }
 
-// Parse reads a document and returns the site with every finding, those about guarantees that do not fit included.
+// Parse parses a document and returns the site. The error lists every mistake, including guarantees that don't fit
+// the site's workers.
 func Parse(name string, raw []byte) (*contract.Site, error) {
 	file := inifile.Parse(name, raw)
 	r := &reader{file: file, site: Defaults(), halls: map[string]int{}, seen: map[string]bool{}}
@@ -40,7 +41,8 @@
 	return &r.site, nil
 }
 
-// reader collects a site; halls go first because racks and upstreams name them.
+// reader builds a site from sections in two passes. Halls and workspaces are read in the first pass because racks,
+// upstreams and callers refer to them.
 type reader struct {
 	file  *inifile.File
 	site  contract.Site
@@ -132,7 +134,7 @@
 	r.site.Callers = append(r.site.Callers, c)
 }
 
-// name returns the section's name and reports one that is missing, malformed or given twice.
+// name returns the section's name and reports one that is missing or malformed.
 func (r *reader) name(s inifile.Section) string {
 	if !inifile.ValidName(s.Name) {
 		s.Add("", s.Kind+".NAME of letters, digits, - and _", "has no proper name")
@@ -140,13 +142,13 @@
 	return s.Name
 }
 
-// checkWhole reports what can only be seen in the whole document.
+// checkWhole reports mistakes that only show in the whole document: a missing name and guarantees that don't fit.
 func (r *reader) checkWhole() {
 	if r.site.Name == "" {
 		r.file.Findings.Add(r.file.Name, "site.name", "a name", "is missing")
 	}
 	if len(r.file.Findings) > 0 {
-		return // The plan would only repeat what is wrong already.
+		return // The plan would repeat the mistakes already found.
 	}
 	_, findings := pledge.Plan(&r.site, nil)
 	for _, f := range findings {
@@ -154,7 +156,7 @@
 	}
 }
 
-// Describe writes every option of the document.
+// Describe writes the documentation of every option in the site configuration.
 func Describe(w io.Writer) {
 	site := Defaults()
 	inifile.Describe(w, "site", siteOptions(&site))
@@ -166,7 +168,7 @@
 	inifile.Describe(w, "operator.NAME", operatorOptions(&contract.Operator{}))
 }
 
-// Expand replaces values of the form @FILE by the trimmed content of the file, read with read.
+// Expand replaces every value of the form @FILE with the trimmed content of that file, which the function read returns.
 func Expand(raw []byte, read func(name string) ([]byte, error)) ([]byte, error) {
 	lines := strings.Split(string(raw), "\n")
 	for i, line := range lines {
