--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -35,9 +35,9 @@
 
 // Limits that can't be changed in the settings.
 const (
-	longestWait    = 10 * time.Minute
-	operatorWithin = 60 * time.Second
-	maxSiteBytes   = 16 << 20
+	maxWait         = 10 * time.Minute
+	operatorTimeout = 60 * time.Second
+	maxSiteBytes    = 16 << 20
 )
 
 // Server serves the HTTP requests of a box. Set the exported fields before use.
@@ -46,27 +46,28 @@
 	Config   *config.Keeper
 	Intake   *intake.Intake
 	Desk     *operator.Desk
-	Apply    func(ctx context.Context, text string, base int64) (int64, error) // Commits a configuration; base is the version to replace, or -1.
-	Timeline func(ctx context.Context, job string) []timeline.Event            // Returns the events of all boxes.
+	// Apply commits a configuration and returns its version. The argument base is the version to replace, or -1.
+	Apply    func(ctx context.Context, text string, base int64) (int64, error)
+	Timeline func(ctx context.Context, job string) []timeline.Event // Returns the events of all boxes.
 	Registry metrics.Registry
 
-	ready   atomic.Bool
-	leaving context.Context // Ends when the box stops: waiting callers then get the state known so far.
-	leave   context.CancelFunc
+	ready    atomic.Bool
+	stopping context.Context // Ends when the box stops: waiting callers then get the state known so far.
+	stop     context.CancelFunc
 }
 
 // Handler returns the HTTP handler with all routes.
 func (s *Server) Handler() http.Handler {
-	s.leaving, s.leave = context.WithCancel(context.Background())
+	s.stopping, s.stop = context.WithCancel(context.Background())
 	r := chi.NewRouter()
 	r.Get("/live", func(w http.ResponseWriter, _ *http.Request) { wire.Reply(w, http.StatusOK, struct{}{}) })
 	r.Get("/ready", s.serveReady)
 	r.Get("/metrics", s.serveMetrics)
-	r.Post("/v1/requests", s.asCaller(s.submit))
-	r.Get("/v1/requests/{id}", s.asCaller(s.ask))
-	r.Post("/v1/ask", s.asOperator(s.command))
-	r.Put("/v1/site", s.asOperator(s.apply))
-	r.Get("/v1/timeline", s.asOperator(s.timeline))
+	r.Post("/v1/requests", s.authenticateCaller(s.submit))
+	r.Get("/v1/requests/{id}", s.authenticateCaller(s.status))
+	r.Post("/v1/ask", s.authenticateOperator(s.command))
+	r.Put("/v1/site", s.authenticateOperator(s.apply))
+	r.Get("/v1/timeline", s.authenticateOperator(s.timeline))
 	return r
 }
 
@@ -75,11 +76,11 @@
 
 // Leave answers all waiting callers with the state known so far. Otherwise a planned stop would have to wait for gangs
 // that run for hours.
-func (s *Server) Leave() { s.leave() }
+func (s *Server) Leave() { s.stop() }
 
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !s.ready.Load() || !s.Config.Known() {
-		refuse(w, http.StatusServiceUnavailable, "the box takes no new work", nil)
+		writeProblem(w, http.StatusServiceUnavailable, "the box takes no new work", nil)
 		return
 	}
 	wire.Reply(w, http.StatusOK, struct{}{})
@@ -90,9 +91,10 @@
 	metrics.WriteJSONOnce(s.Registry, w)
 }
 
-// refuse writes a problem document.
-func refuse(w http.ResponseWriter, status int, title string, findings finding.List) {
-	raw, _ := json.Marshal(request.Problem{Type: "about:blank", Title: title, Status: status, Findings: findings}) // Encoding this struct never fails.
+// writeProblem writes a problem document.
+func writeProblem(w http.ResponseWriter, status int, title string, findings finding.List) {
+	// Encoding this struct never fails.
+	raw, _ := json.Marshal(request.Problem{Type: "about:blank", Title: title, Status: status, Findings: findings})
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
 	_, _ = w.Write(raw) // An error means that the client has disconnected.
@@ -104,31 +106,31 @@
 // operatorHandler serves a request of an authenticated operator.
 type operatorHandler func(w http.ResponseWriter, r *http.Request, name string)
 
-func (s *Server) asCaller(h callerHandler) http.HandlerFunc {
+func (s *Server) authenticateCaller(h callerHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.Config.Site() == nil { // No caller can be authenticated yet.
 			w.Header().Set("Retry-After", "1")
-			refuse(w, http.StatusServiceUnavailable, "no configuration is in force in this box yet", nil)
+			writeProblem(w, http.StatusServiceUnavailable, "no configuration is in force in this box yet", nil)
 			return
 		}
 		name, key, err := identity.Name(r)
 		caller, _ := s.Config.Caller(name)
 		if !identity.Matches(key, caller.KeyHash) || err != nil {
-			refuse(w, http.StatusUnauthorized, identity.ErrUnknown.Error(), nil)
+			writeProblem(w, http.StatusUnauthorized, identity.ErrUnknown.Error(), nil)
 			return
 		}
 		h(w, r, caller)
 	}
 }
 
-func (s *Server) asOperator(h operatorHandler) http.HandlerFunc {
+func (s *Server) authenticateOperator(h operatorHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		name, key, err := identity.Name(r)
 		if !identity.Matches(key, s.operatorHash(name)) || err != nil {
-			refuse(w, http.StatusUnauthorized, identity.ErrUnknown.Error(), nil)
+			writeProblem(w, http.StatusUnauthorized, identity.ErrUnknown.Error(), nil)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), operatorWithin)
+		ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 		defer cancel()
 		h(w, r.WithContext(ctx), name)
 	}
@@ -157,13 +159,13 @@
 	received := time.Now()
 	o := intake.Order{Identity: request.Identity{Caller: caller.Name, ID: r.Header.Get(HeaderKey)}, Received: received}
 	var findings finding.List
-	o.Round = readRound(r, &findings)
+	o.Round = parseRound(r, &findings)
 	s.decode(w, r, &o.Submission, &findings)
 	if len(findings) == 0 {
 		findings = append(findings, request.Validate(s.Config.Site(), caller, o.ID, o.Submission)...)
 	}
 	if len(findings) > 0 {
-		refuse(w, http.StatusUnprocessableEntity, "the request was not taken; nothing of it is kept", findings)
+		writeProblem(w, http.StatusUnprocessableEntity, "the request was not taken; nothing of it is kept", findings)
 		return
 	}
 	ctx, cancel := s.waitContext(r, o.Submission.Gang > 0)
@@ -171,7 +173,7 @@
 	s.reply(w, s.Intake.Submit(ctx, o))
 }
 
-func readRound(r *http.Request, findings *finding.List) int {
+func parseRound(r *http.Request, findings *finding.List) int {
 	text := r.Header.Get(HeaderRound)
 	if text == "" {
 		return 1
@@ -201,19 +203,19 @@
 }
 
 // waitContext returns a context that ends when the caller no longer waits for the outcome. The header
-// Prefer: wait=SECONDS sets the time; without it, callers don't wait for gangs and wait longestWait for small requests.
+// Prefer: wait=SECONDS sets the time; without it, callers don't wait for gangs and wait maxWait for small requests.
 func (s *Server) waitContext(r *http.Request, gang bool) (context.Context, context.CancelFunc) {
-	wait := longestWait
+	wait := maxWait
 	if gang {
 		wait = 0
 	}
 	if text, ok := strings.CutPrefix(r.Header.Get("Prefer"), "wait="); ok {
 		if seconds, err := strconv.ParseFloat(text, 64); err == nil && seconds >= 0 {
-			wait = min(time.Duration(seconds*float64(time.Second)), longestWait)
+			wait = min(time.Duration(seconds*float64(time.Second)), maxWait)
 		}
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
-	stop := context.AfterFunc(s.leaving, cancel)
+	stop := context.AfterFunc(s.stopping, cancel)
 	return ctx, func() { stop(); cancel() }
 }
 
@@ -232,14 +234,14 @@
 	wire.Reply(w, status, reply)
 }
 
-// ask replies with the state of a caller's earlier request.
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, caller contract.Caller) {
+// status replies with the state of a caller's earlier request.
+func (s *Server) status(w http.ResponseWriter, r *http.Request, caller contract.Caller) {
 	id := request.Identity{Caller: caller.Name, ID: chi.URLParam(r, "id")}
 	ctx, cancel := s.waitContext(r, true)
 	defer cancel()
 	reply, err := s.Intake.Await(ctx, id)
 	if err != nil {
-		refuse(w, http.StatusNotFound, "no request of that id is known to this caller", nil)
+		writeProblem(w, http.StatusNotFound, "no request of that id is known to this caller", nil)
 		return
 	}
 	s.reply(w, reply)
@@ -253,7 +255,7 @@
 	var findings finding.List
 	s.decode(w, r, &body, &findings)
 	if len(findings) > 0 {
-		refuse(w, http.StatusUnprocessableEntity, "the command can't be read", findings)
+		writeProblem(w, http.StatusUnprocessableEntity, "the command can't be read", findings)
 		return
 	}
 	list, err := s.Desk.Run(r.Context(), name, body.Command)
@@ -261,11 +263,11 @@
 	switch {
 	case errors.As(err, &mistake):
 		findings.Add("command", "column "+strconv.Itoa(mistake.Column), mistake.Expected, "%s", mistake.Problem)
-		refuse(w, http.StatusBadRequest, "the command has a mistake", findings)
+		writeProblem(w, http.StatusBadRequest, "the command has a mistake", findings)
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, err.Error(), nil)
+		writeProblem(w, http.StatusServiceUnavailable, err.Error(), nil)
 	case list.Refused:
-		refuse(w, http.StatusConflict, list.Text, nil)
+		writeProblem(w, http.StatusConflict, list.Text, nil)
 	default:
 		wire.Reply(w, http.StatusOK, list)
 	}
@@ -275,13 +277,13 @@
 func (s *Server) apply(w http.ResponseWriter, r *http.Request, _ string) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSiteBytes))
 	if err != nil {
-		refuse(w, http.StatusRequestEntityTooLarge, "the configuration is too large", nil)
+		writeProblem(w, http.StatusRequestEntityTooLarge, "the configuration is too large", nil)
 		return
 	}
 	base := int64(-1)
 	if text := r.Header.Get("If-Match"); text != "" {
 		if base, err = strconv.ParseInt(text, 10, 64); err != nil {
-			refuse(w, http.StatusBadRequest, "If-Match is no version", nil)
+			writeProblem(w, http.StatusBadRequest, "If-Match is no version", nil)
 			return
 		}
 	}
@@ -290,11 +292,11 @@
 	var lost *ConflictError
 	switch {
 	case errors.As(err, &findings):
-		refuse(w, http.StatusUnprocessableEntity, "the configuration was not taken", findings)
+		writeProblem(w, http.StatusUnprocessableEntity, "the configuration was not taken", findings)
 	case errors.As(err, &lost):
-		refuse(w, http.StatusConflict, lost.Error(), nil)
+		writeProblem(w, http.StatusConflict, lost.Error(), nil)
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, err.Error(), nil)
+		writeProblem(w, http.StatusServiceUnavailable, err.Error(), nil)
 	default:
 		wire.Reply(w, http.StatusOK, struct {
 			Version int64 `json:"version"`
--- a/internal/cli/box.go
+++ b/internal/cli/box.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return e.fail(exitUsage, err)
 	}
-	raw, err = expandBeside(*file, raw)
+	raw, err = expandFileValues(*file, raw)
 	if err != nil {
 		return e.fail(exitUsage, err)
 	}
@@ -47,9 +47,9 @@
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	go func() { <-signals; close(planned) }()
 	if err := serveBox(context.Background(), s, planned, newLog(e.err, s.Log.Level)); err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
-	return exitGood
+	return exitSuccess
 }
 
 // serveBox runs a box on the addresses of its settings until planned is closed or ctx ends.
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -21,8 +21,8 @@
 	if set.NArg() == 0 {
 		return e.usageError("check", "name at least one file")
 	}
-	code := exitGood
-	names := boxNames{}
+	code := exitSuccess
+	names := boxFiles{}
 	for _, name := range set.Args() {
 		if err := names.checkFile(name); err != nil {
 			printFindings(e, name, err)
@@ -32,12 +32,12 @@
 	return code
 }
 
-// boxNames maps the names of boxes to the settings files already checked.
-type boxNames map[string]string
+// boxFiles maps the names of boxes to the settings files already checked.
+type boxFiles map[string]string
 
-// take records the settings file of a box. It returns an error if another file names the same box: when a second
+// add records the settings file of a box. It returns an error if another file names the same box: when a second
 // process starts with a box's name, the first one ends.
-func (b boxNames) take(box, file string) error {
+func (b boxFiles) add(box, file string) error {
 	if other := b[box]; other != "" && other != file {
 		return errors.Errorf("box %s has these settings in %s too; of two starts of a box the earlier one ends", box, other)
 	}
@@ -57,14 +57,14 @@
 	}
 }
 
-// checkFile checks a file according to its sections: a site configuration, or the settings of a box or of the stand-ins.
-// A file without sections holds the settings of a box on the platform.
-func (b boxNames) checkFile(name string) error {
+// checkFile checks a site configuration, or the settings of a box or of the stand-ins. The sections in the file tell
+// which it is; a file without sections holds the settings of a box on the platform.
+func (b boxFiles) checkFile(name string) error {
 	raw, err := os.ReadFile(name)
 	if err != nil {
 		return err
 	}
-	if raw, err = expandBeside(name, raw); err != nil {
+	if raw, err = expandFileValues(name, raw); err != nil {
 		return err
 	}
 	kinds := map[string]bool{}
@@ -77,7 +77,7 @@
 		if err != nil {
 			return err
 		}
-		return b.take(s.Box, name)
+		return b.add(s.Box, name)
 	case kinds["site"] || kinds["rack"] || kinds["workspace"]:
 		_, _, err = loadSite(name)
 	case kinds["standin"]:
@@ -87,7 +87,7 @@
 		if err != nil {
 			return err
 		}
-		return b.take(s.Name, name)
+		return b.add(s.Name, name)
 	}
 	return err
 }
@@ -99,7 +99,7 @@
 	if err != nil {
 		return "", 0, err
 	}
-	raw, err = expandBeside(name, raw)
+	raw, err = expandFileValues(name, raw)
 	if err != nil {
 		return "", 0, err
 	}
@@ -110,8 +110,8 @@
 	return string(raw), len(parsed.Workspaces), nil
 }
 
-// expandBeside replaces every value @FILE with the content of FILE, relative to the directory of the document.
-func expandBeside(name string, raw []byte) ([]byte, error) {
+// expandFileValues replaces every value @FILE with the content of FILE, relative to the directory of the document.
+func expandFileValues(name string, raw []byte) ([]byte, error) {
 	return site.Expand(raw, func(file string) ([]byte, error) {
 		return os.ReadFile(filepath.Join(filepath.Dir(name), file))
 	})
@@ -134,5 +134,5 @@
 	for _, name := range []string{"standin", "faults"} {
 		inifile.Describe(e.out, name, standin.options()[name])
 	}
-	return exitGood
+	return exitSuccess
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,9 +18,9 @@
 
 // Exit codes.
 const (
-	exitGood  = 0
-	exitBad   = 1 // The request was refused or failed.
-	exitUsage = 2 // The command line or an input file is invalid.
+	exitSuccess = 0
+	exitFailure = 1 // The request was refused or failed.
+	exitUsage   = 2 // The command line or an input file is invalid.
 )
 
 // subcommand describes one subcommand.
@@ -92,7 +92,7 @@
 		fmt.Fprintf(e.out, "  pulleyring %s\n      %s\n", s.usage, s.about)
 	}
 	fmt.Fprintln(e.out, "\npulleyring SUBCOMMAND -h lists its options with units and defaults.")
-	return exitGood
+	return exitSuccess
 }
 
 // flags returns the flag set of a subcommand.
@@ -121,7 +121,7 @@
 	err := set.Parse(args)
 	switch {
 	case errors.Is(err, flag.ErrHelp):
-		return exitGood, true
+		return exitSuccess, true
 	case err != nil:
 		return exitUsage, true
 	}
@@ -143,14 +143,14 @@
 // access holds the options that say which boxes to connect to and with which key.
 type access struct {
 	box, key, authority string
-	within              time.Duration
+	timeout             time.Duration
 }
 
 func (a *access) add(set *flag.FlagSet) {
 	set.StringVar(&a.box, "box", "http://127.0.0.1:7411", "base `URL` of a box; several by commas")
 	set.StringVar(&a.key, "key", "", "`file` with the key")
 	set.StringVar(&a.authority, "authority", "", "PEM `file` of the authority of the boxes' listeners, for https")
-	set.DurationVar(&a.within, "within", 30*time.Second, "longest `time` for the whole call")
+	set.DurationVar(&a.timeout, "within", 30*time.Second, "longest `time` for the whole call")
 }
 
 // client returns a client for the boxes with the key.
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -24,11 +24,11 @@
 	o.Log = newLog(e.err, *level)
 	judgement, err := demo.Run(context.Background(), o)
 	if err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	fmt.Fprintln(e.out, judgement.Line())
 	if !demo.Good(judgement) {
-		return exitBad
+		return exitFailure
 	}
-	return exitGood
+	return exitSuccess
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -27,9 +27,9 @@
 	}
 	if len(about) == 0 {
 		fmt.Fprintf(e.out, "no line of %d is about %s\n", len(lines), set.Arg(0))
-		return exitBad
+		return exitFailure
 	}
-	return exitGood
+	return exitSuccess
 }
 
 // readLogs parses log files and the *.log files of directories. It prints how many lines are not JSON.
--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -10,18 +10,18 @@
 	"github.com/pkg/errors"
 )
 
-// figuresWithin is the timeout of a call to a box's metrics address.
-const figuresWithin = 3 * time.Second
+// metricsTimeout is the timeout of a call to a box's metrics address.
+const metricsTimeout = 3 * time.Second
 
-// defaultFigures is the base URL of the metrics address of a box on this machine.
-const defaultFigures = "http://127.0.0.1:7000"
+// defaultMetricsURL is the base URL of the metrics address of a box on this machine.
+const defaultMetricsURL = "http://127.0.0.1:7000"
 
-// errNotKnown reports that a box answered 404 for a path.
-var errNotKnown = errors.New("answered 404 Not Found")
+// errNotFound reports that a box answered 404 for a path.
+var errNotFound = errors.New("answered 404 Not Found")
 
-// fetchFigures decodes the JSON document that a box serves to operators under a path of its metrics address.
-func fetchFigures(box, path string, into any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), figuresWithin)
+// fetchReport decodes the JSON document that a box serves to operators under a path of its metrics address.
+func fetchReport(box, path string, into any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), metricsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(box, "/")+path, http.NoBody)
 	if err != nil {
@@ -35,7 +35,7 @@
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
-		return errNotKnown
+		return errNotFound
 	default:
 		return errors.Errorf("answered %s", response.Status)
 	}
--- a/internal/cli/halls.go
+++ b/internal/cli/halls.go
@@ -13,19 +13,19 @@
 // box that lags behind.
 func runHalls(e *env, args []string) int {
 	set := e.flags("halls")
-	boxes := set.String("boxes", defaultFigures, "base `URLs` of the boxes' figures, by commas")
+	boxes := set.String("boxes", defaultMetricsURL, "base `URLs` of the boxes' figures, by commas")
 	if code, done := e.parse(set, args); done {
 		return code
 	}
 	if set.NArg() > 0 {
 		return e.usageError("halls", "unexpected %q", set.Arg(0))
 	}
-	code := exitGood
+	code := exitSuccess
 	for _, box := range strings.Split(*boxes, ",") {
 		halls, err := fetchHalls(box)
 		if err != nil {
 			fmt.Fprintf(e.out, "%s: %v\n", box, err)
-			code = exitBad
+			code = exitFailure
 			continue
 		}
 		fmt.Fprintln(e.out, describeHalls(box, halls))
@@ -35,7 +35,7 @@
 
 func fetchHalls(box string) (node.HallsReport, error) {
 	var report node.HallsReport
-	err := fetchFigures(box, "/halls", &report)
+	err := fetchReport(box, "/halls", &report)
 	return report, errors.WithMessage(err, "halls")
 }
 
--- a/internal/cli/halls_test.go
+++ b/internal/cli/halls_test.go
@@ -16,11 +16,11 @@
 		want       string
 		code       int
 	}{
-		{"some", `{"known":true,"emptied":["a","b"],"age_ms":700}`, 200, "emptied a, b, as of 700ms ago", exitGood},
-		{"none", `{"known":true,"emptied":null,"age_ms":20}`, 200, "emptied none, as of 20ms ago", exitGood},
-		{"unknown", `{"known":false}`, 200, "not known yet", exitGood},
-		{"broken", `{`, 200, "unable to decode", exitBad},
-		{"refused", ``, 404, "answered 404", exitBad},
+		{"some", `{"known":true,"emptied":["a","b"],"age_ms":700}`, 200, "emptied a, b, as of 700ms ago", exitSuccess},
+		{"none", `{"known":true,"emptied":null,"age_ms":20}`, 200, "emptied none, as of 20ms ago", exitSuccess},
+		{"unknown", `{"known":false}`, 200, "not known yet", exitSuccess},
+		{"broken", `{`, 200, "unable to decode", exitFailure},
+		{"refused", ``, 404, "answered 404", exitFailure},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -34,10 +34,10 @@
 	}
 	made, err := makeKeys(*siteFile, raw, *dir, strings.Split(*boxes, ","), ip)
 	if err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	fmt.Fprintf(e.out, "made %d files in %s\n", made, *dir)
-	return exitGood
+	return exitSuccess
 }
 
 // makeKeys creates the missing files: the authority with the boxes' certificates, and a key with its hash for every
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -18,10 +18,10 @@
 
 // Range of the latency histogram in microseconds, and its precision in significant digits.
 const (
-	leastMicros   = 1
-	mostMicros    = 60_000_000
-	sigDigits     = 3
-	microsInMilli = 1000.0
+	minMicros         = 1
+	maxMicros         = 60_000_000
+	significantDigits = 3
+	microsPerMilli    = 1000.0
 )
 
 // loadPhase holds the measurements of one phase of the load test.
@@ -37,45 +37,46 @@
 // loader sends small requests from several goroutines for a fixed time.
 type loader struct {
 	concurrency int
-	length      time.Duration
-	pace        time.Duration // Interval of one goroutine's requests; 0 sends the next one as soon as the answer arrives.
+	duration    time.Duration
+	interval    time.Duration // Interval of one goroutine's requests; 0 sends the next one as soon as the answer arrives.
 
-	mu    sync.Mutex
-	times *hdrhistogram.Histogram
-	phase loadPhase
+	mu        sync.Mutex
+	latencies *hdrhistogram.Histogram
+	phase     loadPhase
 }
 
 // run makes calls for the set time and returns the measurements. The function call sends one request and returns its
 // outcome.
 func (l *loader) run(call func(ctx context.Context, number int) request.Outcome) loadPhase {
-	l.times = hdrhistogram.New(leastMicros, mostMicros, sigDigits)
+	l.latencies = hdrhistogram.New(minMicros, maxMicros, significantDigits)
 	l.phase = loadPhase{}
 	began := time.Now()
 	var group sync.WaitGroup
 	for worker := range l.concurrency {
 		group.Go(func() {
-			for i := worker; time.Since(began) < l.length; i += l.concurrency {
+			for i := worker; time.Since(began) < l.duration; i += l.concurrency {
 				sent := time.Now()
 				outcome := call(context.Background(), i)
-				l.note(outcome, time.Since(sent))
-				time.Sleep(l.pace - time.Since(sent))
+				l.record(outcome, time.Since(sent))
+				time.Sleep(l.interval - time.Since(sent))
 			}
 		})
 	}
 	group.Wait()
 	l.phase.PerSecond = float64(l.phase.Requests) / time.Since(began).Seconds()
-	l.phase.P50MS = float64(l.times.ValueAtQuantile(50)) / microsInMilli
-	l.phase.P99MS = float64(l.times.ValueAtQuantile(99)) / microsInMilli
+	l.phase.P50MS = float64(l.latencies.ValueAtQuantile(50)) / microsPerMilli
+	l.phase.P99MS = float64(l.latencies.ValueAtQuantile(99)) / microsPerMilli
 	return l.phase
 }
 
-func (l *loader) note(o request.Outcome, took time.Duration) {
+func (l *loader) record(o request.Outcome, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.phase.Requests++
 	switch o {
 	case request.Done:
-		_ = l.times.RecordValue(max(took.Microseconds(), leastMicros)) // Fails only for latencies above a minute; these are left out of the histogram.
+		// Fails only for latencies above a minute, and calls that slow count as failed elsewhere.
+		_ = l.latencies.RecordValue(max(took.Microseconds(), minMicros))
 	case request.NotRun:
 		l.phase.NotRun++
 	default:
@@ -89,8 +90,8 @@
 	a.add(set)
 	l := &loader{}
 	set.IntVar(&l.concurrency, "concurrency", 8, "`requests` in flight")
-	set.DurationVar(&l.length, "for", 5*time.Second, "`time` of each phase")
-	set.DurationVar(&l.pace, "pace", 0, "`time` from one request to the next of each in flight; 0 sends as fast as answers come")
+	set.DurationVar(&l.duration, "for", 5*time.Second, "`time` of each phase")
+	set.DurationVar(&l.interval, "pace", 0, "`time` from one request to the next of each in flight; 0 sends as fast as answers come")
 	workspace := set.String("workspace", "", "`workspace` of the requests")
 	once := set.Bool("once", false, "mark them at most once")
 	payload := set.String("payload", `{"work_ms":0}`, "`JSON` for the executor")
@@ -127,9 +128,9 @@
 	raw, _ := json.Marshal(result) // Encoding this struct never fails.
 	fmt.Fprintln(e.out, string(raw))
 	if result.Box.Failed > 0 {
-		return exitBad
+		return exitFailure
 	}
-	return exitGood
+	return exitSuccess
 }
 
 // directCall returns a function that calls the executors directly, without a box.
--- a/internal/cli/operate.go
+++ b/internal/cli/operate.go
@@ -33,35 +33,35 @@
 		Command string `json:"command"`
 	}{strings.Join(set.Args(), " ")})
 	raw, code := e.operate(&a, http.MethodPost, "/v1/ask", nil, body)
-	if code != exitGood {
+	if code != exitSuccess {
 		return code
 	}
 	var list command.List
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	if *format == "json" {
 		fmt.Fprintln(e.out, string(raw))
 	} else {
 		fmt.Fprintln(e.out, list.String())
 	}
-	return exitGood
+	return exitSuccess
 }
 
-// operate sends an operator's HTTP request. It returns the body of the reply and exitGood, or prints the error and
+// operate sends an operator's HTTP request. It returns the body of the reply and exitSuccess, or prints the error and
 // returns another exit code.
 func (e *env) operate(a *access, method, path string, header http.Header, body []byte) ([]byte, int) {
 	client, err := a.client()
 	if err != nil {
 		return nil, e.fail(exitUsage, err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), a.within)
+	ctx, cancel := context.WithTimeout(context.Background(), a.timeout)
 	defer cancel()
 	raw, err := client.Operate(ctx, method, path, header, body)
 	if err != nil {
-		return nil, e.fail(exitBad, err)
+		return nil, e.fail(exitFailure, err)
 	}
-	return raw, exitGood
+	return raw, exitSuccess
 }
 
 func runApply(e *env, args []string) int {
@@ -86,21 +86,21 @@
 		header.Set("If-Match", strconv.FormatInt(*replaces, 10))
 	}
 	raw, code := e.operate(&a, http.MethodPut, "/v1/site", header, []byte(text))
-	if code != exitGood {
+	if code != exitSuccess {
 		return code
 	}
 	var reply struct {
 		Version int64 `json:"version"`
 	}
 	if err := json.Unmarshal(raw, &reply); err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	if *format == "json" {
 		fmt.Fprintln(e.out, string(raw))
-		return exitGood
+		return exitSuccess
 	}
 	fmt.Fprintf(e.out, "version %d is committed\n", reply.Version)
-	return exitGood
+	return exitSuccess
 }
 
 func runTimeline(e *env, args []string) int {
@@ -116,22 +116,22 @@
 		return e.usageError("timeline", "options only, and -format text or json")
 	}
 	raw, code := e.operate(&a, http.MethodGet, "/v1/timeline?job="+*job, nil, nil)
-	if code != exitGood {
+	if code != exitSuccess {
 		return code
 	}
 	var reply struct {
 		Events []timeline.Event `json:"events"`
 	}
 	if err := json.Unmarshal(raw, &reply); err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	if *format == "json" {
 		fmt.Fprintln(e.out, string(raw))
-		return exitGood
+		return exitSuccess
 	}
 	for _, v := range reply.Events {
 		at := time.Unix(0, v.Stamp.Wall).UTC().Format("15:04:05.000000")
 		fmt.Fprintf(e.out, "%s.%d  %-8s %-9s %-14s %-28s %s\n", at, v.Stamp.Count, v.Box, v.Part, v.Hall, v.Job, v.Text)
 	}
-	return exitGood
+	return exitSuccess
 }
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -31,9 +31,9 @@
 	defer stop()
 	go reloadOnHangup(n, file, log)
 	if err := n.Run(ctx); err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
-	return exitGood
+	return exitSuccess
 }
 
 func loadPlatform(file string) (*node.Settings, error) {
--- a/internal/cli/rig.go
+++ b/internal/cli/rig.go
@@ -14,9 +14,9 @@
 func runRig(e *env, args []string) int {
 	if len(args) == 2 && args[0] == "role" {
 		if err := rig.RunRole(args[1], os.Stdin, e.out); err != nil {
-			return e.fail(exitBad, err)
+			return e.fail(exitFailure, err)
 		}
-		return exitGood
+		return exitSuccess
 	}
 	set := e.flags("rig")
 	keep := set.String("keep", "", "`directory` where the logs of all processes are kept")
@@ -39,16 +39,16 @@
 	}
 	verdict, err := playRig(e, scenario, *keep)
 	if err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	for _, text := range verdict.Broken() {
 		fmt.Fprintln(e.out, text)
 	}
 	fmt.Fprintln(e.out, verdict)
 	if len(verdict.Broken()) > 0 {
-		return exitBad
+		return exitFailure
 	}
-	return exitGood
+	return exitSuccess
 }
 
 // playRig plays a scenario until its end or an interrupt. If keep names no directory, the logs are deleted afterwards.
--- a/internal/cli/script_test.go
+++ b/internal/cli/script_test.go
@@ -18,7 +18,8 @@
 	})
 }
 
-// TestScript runs the scripts in testdata/script against the real commands. $PORT0 to $PORT9 are free ports for a script.
+// TestScript runs the scripts in testdata/script against the real commands. A script can use the free ports $PORT0 to
+// $PORT9.
 func TestScript(t *testing.T) {
 	root, err := filepath.Abs(filepath.Join("..", ".."))
 	if err != nil {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -28,7 +28,7 @@
 	}
 	program, err := os.Executable()
 	if err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -36,10 +36,10 @@
 	outcome, err := s.Run(ctx)
 	fmt.Fprintln(e.out, outcome)
 	if err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	if len(outcome.Broken) > 0 {
-		return exitBad
+		return exitFailure
 	}
-	return exitGood
+	return exitSuccess
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -101,7 +101,7 @@
 	log := newLog(e.err, "info")
 	log.Info("standin: serving on " + s.Listen)
 	if err := server.ListenAndServe(); err != nil && err != http.ErrServerClosed {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
-	return exitGood
+	return exitSuccess
 }
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -48,11 +48,11 @@
 	if *id == "" {
 		*id = xid.New().String()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), a.within+*wait)
+	ctx, cancel := context.WithTimeout(context.Background(), a.timeout+*wait)
 	defer cancel()
 	reply, err := client.Submit(ctx, *id, s, *wait)
 	if err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	return printReply(e, reply, *format)
 }
@@ -78,7 +78,7 @@
 		}
 	}
 	if r.Outcome == request.Done || r.Outcome == request.Accepted {
-		return exitGood
+		return exitSuccess
 	}
-	return exitBad
+	return exitFailure
 }
--- a/internal/cli/transport.go
+++ b/internal/cli/transport.go
@@ -13,16 +13,16 @@
 const (
 	idleConns        = 4096
 	idleConnsPerHost = 1024
-	dialWithin       = time.Second
-	idleFor          = 90 * time.Second
+	dialTimeout      = time.Second
+	idleTimeout      = 90 * time.Second
 )
 
 // transportFor returns an HTTP transport that trusts only the authority in a PEM file. If the file name is empty, it
 // keeps Go's default TLS settings.
 func transportFor(authority string) (*http.Transport, error) {
 	t := &http.Transport{
-		MaxIdleConns: idleConns, MaxIdleConnsPerHost: idleConnsPerHost, IdleConnTimeout: idleFor,
-		DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext,
+		MaxIdleConns: idleConns, MaxIdleConnsPerHost: idleConnsPerHost, IdleConnTimeout: idleTimeout,
+		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 	}
 	if authority == "" {
 		return t, nil
--- a/internal/cli/trial.go
+++ b/internal/cli/trial.go
@@ -25,11 +25,11 @@
 		return e.fail(exitUsage, err)
 	}
 	trial.Print(e.out, list)
-	return exitGood
+	return exitSuccess
 }
 
-// mostSeeds is the largest number of seeds in one comparison.
-const mostSeeds = 1000
+// maxSeeds is the largest number of seeds in one comparison.
+const maxSeeds = 1000
 
 func parseSeeds(text string) ([]uint64, error) {
 	first, last, isRange := strings.Cut(text, "-")
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if to < from || to-from >= mostSeeds {
+	if to < from || to-from >= maxSeeds {
 		return nil, errors.New("no range")
 	}
 	var seeds []uint64
--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -14,29 +14,29 @@
 // by any other.
 func runWhy(e *env, args []string) int {
 	set := e.flags("why")
-	boxes := set.String("boxes", defaultFigures, "base `URLs` of the boxes' figures, by commas")
+	boxes := set.String("boxes", defaultMetricsURL, "base `URLs` of the boxes' figures, by commas")
 	if code, done := e.parse(set, args); done {
 		return code
 	}
 	if set.NArg() != 1 {
 		return e.usageError("why", "want one job")
 	}
-	report, err := askWhy(strings.Split(*boxes, ","), set.Arg(0))
+	report, err := fetchWhy(strings.Split(*boxes, ","), set.Arg(0))
 	if err != nil {
 		fmt.Fprintf(e.out, "why: %v\n", err)
-		return exitBad
+		return exitFailure
 	}
 	printWhy(e.out, report)
-	return exitGood
+	return exitSuccess
 }
 
-// askWhy queries one box after another until the scheduling box answers. Otherwise it returns the last report received.
-func askWhy(boxes []string, job string) (*node.WhyReport, error) {
+// fetchWhy queries one box after another until the scheduling box answers. Otherwise it returns the last report received.
+func fetchWhy(boxes []string, job string) (*node.WhyReport, error) {
 	var best *node.WhyReport
 	var failed error
 	for _, box := range boxes {
 		report := &node.WhyReport{}
-		if err := fetchFigures(box, "/why/"+url.PathEscape(job), report); err != nil {
+		if err := fetchReport(box, "/why/"+url.PathEscape(job), report); err != nil {
 			failed = errors.WithMessage(err, box)
 			continue
 		}
@@ -48,7 +48,7 @@
 	switch {
 	case best != nil:
 		return best, nil
-	case errors.Is(failed, errNotKnown):
+	case errors.Is(failed, errNotFound):
 		return nil, errors.Errorf("no box knows job %s", job)
 	}
 	return nil, failed
--- a/internal/cli/why_test.go
+++ b/internal/cli/why_test.go
@@ -22,12 +22,12 @@
 		wants  []string
 		code   int
 	}{
-		{"failed", []string{failed}, []string{"job j is failed", "because task 0 of step 0 was given up", "3 workers were lost under it, 3 count against it"}, exitGood},
-		{"the scheduler's word", []string{unsure, waiting}, []string{"job j is queued", "step 0 waits for room for 4 tasks"}, exitGood},
-		{"a name used twice", []string{noted}, []string{"job j is completed", "box b is at x; its start before was at y"}, exitGood},
-		{"no scheduler", []string{unsure, ""}, []string{"the box that schedules did not answer"}, exitGood},
-		{"unknown", []string{"", ""}, []string{"no box knows job j"}, exitBad},
-		{"broken", []string{"{"}, []string{"unable to decode"}, exitBad},
+		{"failed", []string{failed}, []string{"job j is failed", "because task 0 of step 0 was given up", "3 workers were lost under it, 3 count against it"}, exitSuccess},
+		{"the scheduler's word", []string{unsure, waiting}, []string{"job j is queued", "step 0 waits for room for 4 tasks"}, exitSuccess},
+		{"a name used twice", []string{noted}, []string{"job j is completed", "box b is at x; its start before was at y"}, exitSuccess},
+		{"no scheduler", []string{unsure, ""}, []string{"the box that schedules did not answer"}, exitSuccess},
+		{"unknown", []string{"", ""}, []string{"no box knows job j"}, exitFailure},
+		{"broken", []string{"{"}, []string{"unable to decode"}, exitFailure},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/command/list.go
+++ b/internal/command/list.go
@@ -70,14 +70,14 @@
 // Meets reports whether a row matches every condition.
 func (l *List) Meets(row []string, where []Condition) bool {
 	for _, c := range where {
-		if !c.holds(row[slices.Index(l.Columns, c.Column)]) {
+		if !c.matches(row[slices.Index(l.Columns, c.Column)]) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c Condition) holds(cell string) bool {
+func (c Condition) matches(cell string) bool {
 	order := compareCells(cell, c.Value)
 	switch c.Operator {
 	case "=":
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -26,7 +26,7 @@
 	Changed func(text string) // Called after a new version came into force; may be nil.
 
 	mu        sync.Mutex
-	asked     bool // The rows were read from the table at least once.
+	refreshed bool // The rows were read from the table at least once.
 	site      *contract.Site
 	siteDoc   link.Document
 	orders    Orders
@@ -50,7 +50,7 @@
 func (k *Keeper) Known() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.site != nil || k.asked
+	return k.site != nil || k.refreshed
 }
 
 // Orders returns the orders in force; callers must not change the lists.
@@ -130,7 +130,7 @@
 		return errors.Wrap(err, "config: unable to read the configuration and orders from the table")
 	}
 	k.mu.Lock()
-	k.asked = true
+	k.refreshed = true
 	k.mu.Unlock()
 	if rows[0].Version > 0 {
 		var value siteRow
@@ -153,19 +153,19 @@
 		if err != nil {
 			return err
 		}
-		k.tell(adopted, "a new configuration is in force")
+		k.notify(adopted, "a new configuration is in force")
 	}
 	if orders != nil && orders.Version > 0 {
 		adopted, err := k.AdoptOrders(*orders)
 		if err != nil {
 			return err
 		}
-		k.tell(adopted, "new orders are in force")
+		k.notify(adopted, "new orders are in force")
 	}
 	return nil
 }
 
-func (k *Keeper) tell(adopted bool, text string) {
+func (k *Keeper) notify(adopted bool, text string) {
 	if adopted && k.Changed != nil {
 		k.Changed(text)
 	}
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -51,39 +51,39 @@
 		}
 		if line[0] == '[' {
 			section = strings.TrimSpace(strings.Trim(line, "[]"))
-			f.remember(section, "", i+1)
+			f.recordLine(section, "", i+1)
 			continue
 		}
 		key, _, found := strings.Cut(line, "=")
 		if !found {
-			f.Findings.Add(f.place(i+1), section, "key = value", "%q is neither a section nor a key", line)
+			f.Findings.Add(f.position(i+1), section, "key = value", "%q is neither a section nor a key", line)
 			continue
 		}
-		f.remember(section, strings.TrimSpace(key), i+1)
+		f.recordLine(section, strings.TrimSpace(key), i+1)
 	}
 }
 
-func (f *File) remember(section, key string, line int) {
+func (f *File) recordLine(section, key string, line int) {
 	id := section + "\n" + key
 	if first := f.lines[id]; first > 0 {
 		what := "section"
 		if key != "" {
 			what = "key"
 		}
-		f.Findings.Add(f.place(line), dotted(section, key), "once", "the %s stands already in line %d", what, first)
+		f.Findings.Add(f.position(line), joinName(section, key), "once", "the %s stands already in line %d", what, first)
 		return
 	}
 	f.lines[id] = line
 }
 
-func dotted(section, key string) string {
+func joinName(section, key string) string {
 	if key == "" {
 		return section
 	}
 	return section + "." + key
 }
 
-func (f *File) place(line int) string {
+func (f *File) position(line int) string {
 	if line == 0 {
 		return f.Name
 	}
@@ -95,7 +95,7 @@
 	var list []Section
 	for _, s := range f.file.Sections() {
 		if s.Name() == ini.DefaultSection {
-			f.reportStray(s)
+			f.reportUnnamedKeys(s)
 			continue
 		}
 		kind, name, _ := strings.Cut(s.Name(), ".")
@@ -104,9 +104,9 @@
 	return list
 }
 
-func (f *File) reportStray(s *ini.Section) {
+func (f *File) reportUnnamedKeys(s *ini.Section) {
 	for _, k := range s.Keys() {
-		f.Findings.Add(f.place(f.lines["\n"+k.Name()]), k.Name(), "a key inside a section", "stands before the first section")
+		f.Findings.Add(f.position(f.lines["\n"+k.Name()]), k.Name(), "a key inside a section", "stands before the first section")
 	}
 }
 
@@ -116,5 +116,5 @@
 	if line == 0 {
 		line = s.owner.lines[s.full+"\n"]
 	}
-	s.owner.Findings.Add(s.owner.place(line), dotted(s.full, key), allowed, problem, args...)
+	s.owner.Findings.Add(s.owner.position(line), joinName(s.full, key), allowed, problem, args...)
 }
--- a/internal/inifile/option.go
+++ b/internal/inifile/option.go
@@ -186,14 +186,14 @@
 		if o.Required {
 			detail += "; required"
 		} else {
-			detail += "; default: " + o.current()
+			detail += "; default: " + o.defaultText()
 		}
 		fmt.Fprintf(w, "  %-28s %s\n", "", detail)
 	}
 	fmt.Fprintln(w)
 }
 
-func (o Option) current() string {
+func (o Option) defaultText() string {
 	switch target := o.Target.(type) {
 	case *string:
 		return strconv.Quote(*target)
--- a/internal/operator/cancel.go
+++ b/internal/operator/cancel.go
@@ -10,8 +10,8 @@
 	"github.com/pulleyring/pulleyring/internal/table"
 )
 
-// cancelsAtOnce limits the concurrent cancellations of one command.
-const cancelsAtOnce = 256
+// maxConcurrentCancels limits the concurrent cancellations of one command.
+const maxConcurrentCancels = 256
 
 // cancel cancels one job, or all jobs that match the conditions.
 func (d *Desk) cancel(ctx context.Context, name string, c *command.Cancel) (*command.List, error) {
@@ -20,18 +20,18 @@
 		return refusal, err
 	}
 	counts := d.cancelAll(ctx, name, targets)
-	answer := command.Did(counts.unrun+counts.stopping, "cancelled %d: %d will not run, %d were told to stop, %d were past cancelling",
-		len(targets), counts.unrun, counts.stopping, counts.past)
-	if counts.open > 0 {
-		answer.Text += "; the table did not say what became of " + itoa(counts.open) + ", repeating the command is safe"
+	answer := command.Did(counts.notRun+counts.stopping, "cancelled %d: %d will not run, %d were told to stop, %d were past cancelling",
+		len(targets), counts.notRun, counts.stopping, counts.tooLate)
+	if counts.unknown > 0 {
+		answer.Text += "; the table did not say what became of " + itoa(counts.unknown) + ", repeating the command is safe"
 	}
 	return answer, nil
 }
 
 // target is a job to cancel, with the controller of its hall.
 type target struct {
-	keeper *hall.Keeper
-	entry  *hall.Entry
+	controller *hall.Keeper
+	entry      *hall.Entry
 }
 
 func (d *Desk) targets(ctx context.Context, c *command.Cancel) ([]target, *command.List, error) {
@@ -63,32 +63,32 @@
 
 // cancelCounts counts the jobs of one command by result: cancelled before they ran, told to stop, too late to cancel,
 // and unknown because the table did not answer.
-type cancelCounts struct{ unrun, stopping, past, open int }
+type cancelCounts struct{ notRun, stopping, tooLate, unknown int }
 
 func (d *Desk) cancelAll(ctx context.Context, name string, targets []target) cancelCounts {
 	var mu sync.Mutex
 	var counts cancelCounts
 	var group sync.WaitGroup
-	slots := make(chan struct{}, cancelsAtOnce)
+	slots := make(chan struct{}, maxConcurrentCancels)
 	for _, t := range targets {
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			result, err := t.keeper.Cancel(ctx, t.entry, "cancelled by "+name)
+			result, err := t.controller.Cancel(ctx, t.entry, "cancelled by "+name)
 			mu.Lock()
 			defer mu.Unlock()
 			var conflict *table.Conflict
 			switch {
 			case errors.As(err, &conflict):
-				counts.past++
+				counts.tooLate++
 			case err != nil:
-				counts.open++
+				counts.unknown++
 			case result == hall.CancelUnrun:
-				counts.unrun++
+				counts.notRun++
 			case result == hall.CancelStopping:
 				counts.stopping++
 			default:
-				counts.past++
+				counts.tooLate++
 			}
 		})
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -53,12 +53,12 @@
 	case c.Cancel != nil:
 		return d.cancel(ctx, name, c.Cancel)
 	}
-	return d.order(ctx, name, c)
+	return d.changeOrders(ctx, name, c)
 }
 
-// order applies a command to the orders and commits them. If another operator has changed the orders meanwhile, it
+// changeOrders applies a command to the orders and commits them. If another operator has changed the orders meanwhile, it
 // applies the command again to the new version.
-func (d *Desk) order(ctx context.Context, name string, c *command.Command) (*command.List, error) {
+func (d *Desk) changeOrders(ctx context.Context, name string, c *command.Command) (*command.List, error) {
 	for {
 		if err := d.Config.Refresh(ctx); err != nil {
 			return nil, errors.Wrap(err, "operator: the table can't be asked")
@@ -66,7 +66,7 @@
 		orders := d.Config.Orders()
 		_, version := d.Config.Versions()
 		next := orders.Current(time.Now())
-		answer := d.change(&next, name, c)
+		answer := d.applyToOrders(&next, name, c)
 		if answer.Affected == 0 {
 			return answer, nil
 		}
@@ -85,8 +85,8 @@
 	}
 }
 
-// change applies a command to the orders and returns the answer, which says what changed.
-func (d *Desk) change(o *config.Orders, name string, c *command.Command) *command.List {
+// applyToOrders applies a command to the orders and returns the answer, which says what changed.
+func (d *Desk) applyToOrders(o *config.Orders, name string, c *command.Command) *command.List {
 	switch {
 	case c.Drain != nil:
 		return d.drain(o, name, c.Drain)
@@ -102,8 +102,8 @@
 
 // Default durations of claims and grants.
 const (
-	defaultClaim = 10 * time.Minute
-	defaultGrant = time.Hour
+	defaultClaimDuration = 10 * time.Minute
+	defaultGrantDuration = time.Hour
 )
 
 func (d *Desk) reclaim(o *config.Orders, name string, c *command.Reclaim) *command.List {
@@ -120,12 +120,12 @@
 			return command.Did(0, "already claimed by %s until %s; nothing changed", held.Operator, held.Until.Format(time.RFC3339))
 		}
 	}
-	until := now.Add(length(c.For, defaultClaim))
+	until := now.Add(durationOr(c.For, defaultClaimDuration))
 	o.Claims = append(o.Claims, config.Claim{Workspace: c.Workspace, Operator: name, Until: until})
 	return command.Did(1, "claimed the %d accelerators of %s until %s", w.Guaranteed(), c.Workspace, until.Format(time.RFC3339))
 }
 
-func length(d command.Duration, otherwise time.Duration) time.Duration {
+func durationOr(d command.Duration, otherwise time.Duration) time.Duration {
 	if d == 0 {
 		return otherwise
 	}
@@ -145,7 +145,7 @@
 			return command.Did(0, "already granted by %s until %s; nothing changed", held.Operator, held.Until.Format(time.RFC3339))
 		}
 	}
-	until := time.Now().Add(length(c.For, defaultGrant))
+	until := time.Now().Add(durationOr(c.For, defaultGrantDuration))
 	o.Grants = append(o.Grants, config.Grant{Workspace: c.Workspace, Accelerators: c.Accelerators, Operator: name, Until: until})
 	return command.Did(1, "granted %s %d accelerators beyond its limit until %s", c.Workspace, c.Accelerators, until.Format(time.RFC3339))
 }
@@ -221,12 +221,12 @@
 	case 1:
 		return kinds[0], nil
 	case 0:
-		return "", command.Refuse("there is no %s %s", orThing(t.Kind), t.Name)
+		return "", command.Refuse("there is no %s %s", kindOrAll(t.Kind), t.Name)
 	}
 	return "", command.Refuse("%s may be a %s; name which", t.Name, strings.Join(kinds, " or a "))
 }
 
-func orThing(kind string) string {
+func kindOrAll(kind string) string {
 	if kind == "" {
 		return "worker, rack, hall or upstream"
 	}
--- a/internal/site/options.go
+++ b/internal/site/options.go
@@ -5,16 +5,16 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// rackForm holds the options of a rack section: a number of identical workers.
-type rackForm struct {
+// rackSection holds the options of a rack section: a number of identical workers.
+type rackSection struct {
 	Hall                         string
 	Address                      string
 	Count                        int
 	CPUs, MemoryGB, Accelerators int
 }
 
-// upstreamForm holds the options of an upstreams section: a number of identical executors.
-type upstreamForm struct {
+// upstreamSection holds the options of an upstreams section: a number of identical executors.
+type upstreamSection struct {
 	Hall, Address             string
 	Count, Slots, Connections int
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-func rackOptions(d *rackForm) []inifile.Option {
+func rackOptions(d *rackSection) []inifile.Option {
 	return []inifile.Option{
 		{Key: "hall", Doc: "Hall that the rack stands in.", Target: &d.Hall, Form: inifile.Name, Required: true},
 		{Key: "address", Doc: "Where its workers are reached.", Target: &d.Address, Form: inifile.URL, Required: true},
@@ -47,7 +47,7 @@
 	}
 }
 
-func upstreamOptions(d *upstreamForm) []inifile.Option {
+func upstreamOptions(d *upstreamSection) []inifile.Option {
 	return []inifile.Option{
 		{Key: "hall", Doc: "Hall that the executors stand in.", Target: &d.Hall, Form: inifile.Name, Required: true},
 		{Key: "address", Doc: "Where the executors are reached.", Target: &d.Address, Form: inifile.URL, Required: true},
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -29,10 +29,10 @@
 	r := &reader{file: file, site: Defaults(), halls: map[string]int{}, seen: map[string]bool{}}
 	sections := file.Sections()
 	for _, s := range sections {
-		r.readFirst(s)
+		r.readIndependent(s)
 	}
 	for _, s := range sections {
-		r.readSecond(s)
+		r.readDependent(s)
 	}
 	r.checkWhole()
 	if err := file.Findings.Err(); err != nil {
@@ -50,7 +50,7 @@
 	seen  map[string]bool
 }
 
-func (r *reader) readFirst(s inifile.Section) {
+func (r *reader) readIndependent(s inifile.Section) {
 	switch s.Kind {
 	case "site":
 		s.Read(siteOptions(&r.site))
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *reader) readSecond(s inifile.Section) {
+func (r *reader) readDependent(s inifile.Section) {
 	switch s.Kind {
 	case "site", "hall", "workspace":
 	case "rack":
@@ -91,7 +91,7 @@
 }
 
 func (r *reader) readRack(s inifile.Section) {
-	d := rackForm{Count: 1}
+	d := rackSection{Count: 1}
 	s.Read(rackOptions(&d))
 	rack := contract.Rack{Name: r.name(s), Hall: d.Hall}
 	for i := range d.Count {
@@ -110,7 +110,7 @@
 }
 
 func (r *reader) readUpstreams(s inifile.Section) {
-	d := upstreamForm{Count: 1, Slots: 8, Connections: 60}
+	d := upstreamSection{Count: 1, Slots: 8, Connections: 60}
 	s.Read(upstreamOptions(&d))
 	name := r.name(s)
 	if _, ok := r.halls[d.Hall]; !ok && d.Hall != "" {
@@ -161,8 +161,8 @@
 	site := Defaults()
 	inifile.Describe(w, "site", siteOptions(&site))
 	inifile.Describe(w, "hall.NAME", hallOptions(&contract.Hall{}))
-	inifile.Describe(w, "rack.NAME", rackOptions(&rackForm{Count: 1}))
-	inifile.Describe(w, "upstreams.NAME", upstreamOptions(&upstreamForm{Count: 1, Slots: 8, Connections: 60}))
+	inifile.Describe(w, "rack.NAME", rackOptions(&rackSection{Count: 1}))
+	inifile.Describe(w, "upstreams.NAME", upstreamOptions(&upstreamSection{Count: 1, Slots: 8, Connections: 60}))
 	inifile.Describe(w, "workspace.NAME", workspaceOptions(&contract.Workspace{Share: 1, BlockAccelerators: 1}))
 	inifile.Describe(w, "caller.NAME", callerOptions(&contract.Caller{}))
 	inifile.Describe(w, "operator.NAME", operatorOptions(&contract.Operator{}))
