--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -289,12 +289,12 @@
 	}
 	version, err := s.Apply(r.Context(), string(raw), base)
 	var findings finding.List
-	var lost *ConflictError
+	var conflict *ConflictError
 	switch {
 	case errors.As(err, &findings):
 		writeProblem(w, http.StatusUnprocessableEntity, "the configuration was not taken", findings)
-	case errors.As(err, &lost):
-		writeProblem(w, http.StatusConflict, lost.Error(), nil)
+	case errors.As(err, &conflict):
+		writeProblem(w, http.StatusConflict, conflict.Error(), nil)
 	case err != nil:
 		writeProblem(w, http.StatusServiceUnavailable, err.Error(), nil)
 	default:
--- a/internal/cli/halls_test.go
+++ b/internal/cli/halls_test.go
@@ -9,6 +9,7 @@
 	"github.com/frankban/quicktest"
 )
 
+// TestHallsOfBoxes checks the output and the exit code of "halls" for known, unknown, undecodable and refused reports.
 func TestHallsOfBoxes(t *testing.T) {
 	tests := []struct {
 		name, body string
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -32,11 +32,11 @@
 	if ip == nil {
 		return e.usageError("keys", "%q is no IP", *address)
 	}
-	made, err := makeKeys(*siteFile, raw, *dir, strings.Split(*boxes, ","), ip)
+	written, err := makeKeys(*siteFile, raw, *dir, strings.Split(*boxes, ","), ip)
 	if err != nil {
 		return e.fail(exitFailure, err)
 	}
-	fmt.Fprintf(e.out, "made %d files in %s\n", made, *dir)
+	fmt.Fprintf(e.out, "made %d files in %s\n", written, *dir)
 	return exitSuccess
 }
 
@@ -46,21 +46,21 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return 0, errors.Wrap(err, "keys: unable to make the directory")
 	}
-	made, err := makeCertificates(name, dir, boxes, ip)
+	written, err := makeCertificates(name, dir, boxes, ip)
 	if err != nil {
-		return made, err
+		return written, err
 	}
 	for _, s := range inifile.Parse(name, raw).Sections() {
 		if s.Kind != "caller" && s.Kind != "operator" || !inifile.ValidName(s.Name) {
 			continue
 		}
 		n, err := makeKey(dir, s.Name)
-		made += n
+		written += n
 		if err != nil {
-			return made, err
+			return written, err
 		}
 	}
-	return made, nil
+	return written, nil
 }
 
 func makeKey(dir, name string) (int, error) {
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -53,16 +53,16 @@
 	s := defaultStandin()
 	options := s.options()
 	file := inifile.Parse(name, raw)
-	listed := false
+	hasStandin := false
 	for _, section := range file.Sections() {
 		if options[section.Kind] == nil {
 			section.Add("", "standin, faults", "is an unknown section")
 			continue
 		}
-		listed = listed || section.Kind == "standin"
+		hasStandin = hasStandin || section.Kind == "standin"
 		section.Read(options[section.Kind])
 	}
-	if !listed {
+	if !hasStandin {
 		file.Findings.Add(name, "standin", "a section with listen", "is missing")
 	}
 	return &s, file.Findings.Err()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -31,7 +31,7 @@
 	Network   link.Network
 	Recorder  *timeline.Recorder
 	Keepers   func() []*hall.Keeper
-	News      func(prefix string)
+	News      func(prefix string) // Announces to other boxes that the rows with a key prefix have changed.
 }
 
 // Run parses and runs one command of an operator. It returns a *command.Mistake if the command is invalid, and another
@@ -115,9 +115,9 @@
 		return command.Refuse("workspace %s has no guarantee", c.Workspace)
 	}
 	now := time.Now()
-	for _, held := range o.Claims {
-		if held.Workspace == c.Workspace {
-			return command.Did(0, "already claimed by %s until %s; nothing changed", held.Operator, held.Until.Format(time.RFC3339))
+	for _, existing := range o.Claims {
+		if existing.Workspace == c.Workspace {
+			return command.Did(0, "already claimed by %s until %s; nothing changed", existing.Operator, existing.Until.Format(time.RFC3339))
 		}
 	}
 	until := now.Add(durationOr(c.For, defaultClaimDuration))
@@ -125,9 +125,9 @@
 	return command.Did(1, "claimed the %d accelerators of %s until %s", w.Guaranteed(), c.Workspace, until.Format(time.RFC3339))
 }
 
-func durationOr(d command.Duration, otherwise time.Duration) time.Duration {
+func durationOr(d command.Duration, fallback time.Duration) time.Duration {
 	if d == 0 {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(d)
 }
@@ -140,9 +140,9 @@
 	if w.LimitAccelerators == 0 {
 		return command.Refuse("workspace %s has no limit that a grant could raise", c.Workspace)
 	}
-	for _, held := range o.Grants {
-		if held.Workspace == c.Workspace && held.Accelerators == c.Accelerators {
-			return command.Did(0, "already granted by %s until %s; nothing changed", held.Operator, held.Until.Format(time.RFC3339))
+	for _, existing := range o.Grants {
+		if existing.Workspace == c.Workspace && existing.Accelerators == c.Accelerators {
+			return command.Did(0, "already granted by %s until %s; nothing changed", existing.Operator, existing.Until.Format(time.RFC3339))
 		}
 	}
 	until := time.Now().Add(durationOr(c.For, defaultGrantDuration))
@@ -154,14 +154,14 @@
 	before := len(o.Claims) + len(o.Grants)
 	claims, grants := o.Claims, o.Grants
 	o.Claims, o.Grants = nil, nil
-	for _, held := range claims {
-		if held.Workspace != c.Workspace {
-			o.Claims = append(o.Claims, held)
+	for _, existing := range claims {
+		if existing.Workspace != c.Workspace {
+			o.Claims = append(o.Claims, existing)
 		}
 	}
-	for _, held := range grants {
-		if held.Workspace != c.Workspace {
-			o.Grants = append(o.Grants, held)
+	for _, existing := range grants {
+		if existing.Workspace != c.Workspace {
+			o.Grants = append(o.Grants, existing)
 		}
 	}
 	ended := before - len(o.Claims) - len(o.Grants)
@@ -173,9 +173,9 @@
 	if refusal != nil {
 		return refusal
 	}
-	for _, held := range o.Drains {
-		if held.What == kind && held.Name == t.Name {
-			return command.Did(0, "%s %s is already drained by %s; nothing changed", kind, t.Name, held.Operator)
+	for _, existing := range o.Drains {
+		if existing.What == kind && existing.Name == t.Name {
+			return command.Did(0, "%s %s is already drained by %s; nothing changed", kind, t.Name, existing.Operator)
 		}
 	}
 	o.Drains = append(o.Drains, config.Drain{What: kind, Name: t.Name, Operator: name, At: time.Now()})
@@ -187,8 +187,8 @@
 	if refusal != nil {
 		return refusal
 	}
-	for i, held := range o.Drains {
-		if held.What == kind && held.Name == t.Name {
+	for i, existing := range o.Drains {
+		if existing.What == kind && existing.Name == t.Name {
 			o.Drains = append(o.Drains[:i:i], o.Drains[i+1:]...)
 			return command.Did(1, "undrained %s %s", kind, t.Name)
 		}
