--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -30,7 +30,8 @@
 	return exitSuccess
 }
 
-// fetchWhy queries one box after another until the scheduling box answers. Otherwise it returns the last report received.
+// fetchWhy queries one box after another until the scheduling box answers. If it doesn't, the last report received
+// is returned.
 func fetchWhy(boxes []string, job string) (*node.WhyReport, error) {
 	var best *node.WhyReport
 	var failed error
--- a/internal/cli/why_test.go
+++ b/internal/cli/why_test.go
@@ -9,8 +9,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestWhy checks the output and the exit code of "why" for reports of the scheduling box and of other boxes, for unknown
-// jobs and for replies that can't be decoded.
+// TestWhy checks the output and the exit code of "why" for reports of the scheduling box and of other boxes, for
+// unknown jobs and for replies that can't be decoded.
 func TestWhy(t *testing.T) {
 	const (
 		failed  = `{"job":"j","state":"failed","reason":"task 0 of step 0 was given up: 3 workers crashed while it ran there","steps":[{"waiting":1,"lost":3,"counted":3}]}`
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -56,8 +56,8 @@
 	return d.changeOrders(ctx, name, c)
 }
 
-// changeOrders applies a command to the orders and commits them. If another operator has changed the orders meanwhile, it
-// applies the command again to the new version.
+// changeOrders applies a command to the orders and commits them. If another operator has changed the orders meanwhile,
+// it applies the command again to the new version.
 func (d *Desk) changeOrders(ctx context.Context, name string, c *command.Command) (*command.List, error) {
 	for {
 		if err := d.Config.Refresh(ctx); err != nil {
