--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -48,7 +48,7 @@
 // Lease holds the durations of the leases on workers.
 type Lease struct {
 	Hold  time.Duration // From holding a worker to starting the work there.
-	Run   time.Duration // Time to live of a running gang's lease after a renewal.
+	Run   time.Duration // Length of a running gang's lease, counted from each renewal.
 	Renew time.Duration // Interval of renewals.
 	// Unchecked limits how long a box renews leases while it can't read the table. Another box may meanwhile have
 	// recorded there that the gang is to stop.
@@ -63,7 +63,7 @@
 	DeadAfter     time.Duration // Time without a heartbeat after which a box is considered dead.
 	BalancerDelay time.Duration // Time that the load balancer needs to notice that a box is not ready.
 	StopWithin    time.Duration // Longest time that a planned stop waits for requests in flight.
-	LinkDelay     time.Duration // One-way delay added to messages between halls, to simulate a site's distances on loopback.
+	LinkDelay     time.Duration // One-way delay added to messages between halls, to simulate distances on loopback.
 }
 
 // Limits bounds the requests that a box accepts and the data that it keeps.
