--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,4 +1,4 @@
-// Package api is the HTTP interface of a box for callers, operators, the balancer and monitoring.
+// Package api serves the HTTP interface of a box to callers, operators, the load balancer and monitoring.
 package api
 
 import (
@@ -27,58 +27,60 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Headers of the interface.
+// Request headers.
 const (
-	HeaderKey   = "Idempotency-Key"       // Id of a request.
-	HeaderRound = "Pulleyring-Submission" // Number of the submission of that id, from 1.
+	HeaderKey   = "Idempotency-Key"       // ID of a request, unique for its caller.
+	HeaderRound = "Pulleyring-Submission" // Number of the submission of that ID, counted from 1.
 )
 
-// Limits of the interface that are no settings.
+// Limits that can't be changed in the settings.
 const (
-	longestWait    = 10 * time.Minute
-	operatorWithin = 60 * time.Second
-	maxSiteBytes   = 16 << 20
+	maxWait         = 10 * time.Minute
+	operatorTimeout = 60 * time.Second
+	maxSiteBytes    = 16 << 20
 )
 
-// Server answers the requests of a box. Fill in the exported fields before use.
+// Server serves the HTTP requests of a box. Set the exported fields before use.
 type Server struct {
 	Settings *settings.Box
 	Config   *config.Keeper
 	Intake   *intake.Intake
 	Desk     *operator.Desk
-	Apply    func(ctx context.Context, text string, base int64) (int64, error) // Commits a configuration.
-	Timeline func(ctx context.Context, job string) []timeline.Event            // Of all boxes.
+	// Apply commits a configuration and returns its version. The argument base is the version to replace, or -1.
+	Apply    func(ctx context.Context, text string, base int64) (int64, error)
+	Timeline func(ctx context.Context, job string) []timeline.Event // Returns the events of all boxes.
 	Registry metrics.Registry
 
-	ready   atomic.Bool
-	leaving context.Context // Ends when waiting callers are to be told what is known so far.
-	leave   context.CancelFunc
+	ready    atomic.Bool
+	stopping context.Context // Ends when the box stops: waiting callers then get the state known so far.
+	stop     context.CancelFunc
 }
 
-// Handler returns the routes.
+// Handler returns the HTTP handler with all routes.
 func (s *Server) Handler() http.Handler {
-	s.leaving, s.leave = context.WithCancel(context.Background())
+	s.stopping, s.stop = context.WithCancel(context.Background())
 	r := chi.NewRouter()
 	r.Get("/live", func(w http.ResponseWriter, _ *http.Request) { wire.Reply(w, http.StatusOK, struct{}{}) })
 	r.Get("/ready", s.serveReady)
 	r.Get("/metrics", s.serveMetrics)
-	r.Post("/v1/requests", s.asCaller(s.submit))
-	r.Get("/v1/requests/{id}", s.asCaller(s.ask))
-	r.Post("/v1/ask", s.asOperator(s.command))
-	r.Put("/v1/site", s.asOperator(s.apply))
-	r.Get("/v1/timeline", s.asOperator(s.timeline))
+	r.Post("/v1/requests", s.authenticateCaller(s.submit))
+	r.Get("/v1/requests/{id}", s.authenticateCaller(s.status))
+	r.Post("/v1/ask", s.authenticateOperator(s.command))
+	r.Put("/v1/site", s.authenticateOperator(s.apply))
+	r.Get("/v1/timeline", s.authenticateOperator(s.timeline))
 	return r
 }
 
-// SetReady tells the balancer whether new requests are welcome.
+// SetReady sets whether the box reports to the load balancer that it accepts new requests.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Leave answers callers that wait for a gang with what is known, so that a planned stop need not wait for hours.
-func (s *Server) Leave() { s.leave() }
+// Leave answers all waiting callers with the state known so far. Otherwise a planned stop would have to wait for gangs
+// that run for hours.
+func (s *Server) Leave() { s.stop() }
 
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !s.ready.Load() || !s.Config.Known() {
-		refuse(w, http.StatusServiceUnavailable, "the box takes no new work", nil)
+		writeProblem(w, http.StatusServiceUnavailable, "the box takes no new work", nil)
 		return
 	}
 	wire.Reply(w, http.StatusOK, struct{}{})
@@ -89,51 +91,53 @@
 	metrics.WriteJSONOnce(s.Registry, w)
 }
 
-// refuse writes a problem document.
-func refuse(w http.ResponseWriter, status int, title string, findings finding.List) {
-	raw, _ := json.Marshal(request.Problem{Type: "about:blank", Title: title, Status: status, Findings: findings}) // Plain structs encode.
+// writeProblem writes a problem document.
+func writeProblem(w http.ResponseWriter, status int, title string, findings finding.List) {
+	// Encoding this struct never fails.
+	raw, _ := json.Marshal(request.Problem{Type: "about:blank", Title: title, Status: status, Findings: findings})
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // The other side is gone where this fails.
+	_, _ = w.Write(raw) // An error means that the client has disconnected.
 }
 
-// callerHandler serves a request of a known caller.
+// callerHandler serves a request of an authenticated caller.
 type callerHandler func(w http.ResponseWriter, r *http.Request, caller contract.Caller)
 
-// operatorHandler serves a request of a known operator.
+// operatorHandler serves a request of an authenticated operator.
 type operatorHandler func(w http.ResponseWriter, r *http.Request, name string)
 
-func (s *Server) asCaller(h callerHandler) http.HandlerFunc {
+func (s *Server) authenticateCaller(h callerHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if s.Config.Site() == nil { // Nobody can be told apart yet.
+		if s.Config.Site() == nil { // No caller can be authenticated yet.
 			w.Header().Set("Retry-After", "1")
-			refuse(w, http.StatusServiceUnavailable, "no configuration is in force in this box yet", nil)
+			writeProblem(w, http.StatusServiceUnavailable, "no configuration is in force in this box yet", nil)
 			return
 		}
 		name, key, err := identity.Name(r)
 		caller, _ := s.Config.Caller(name)
 		if !identity.Matches(key, caller.KeyHash) || err != nil {
-			refuse(w, http.StatusUnauthorized, identity.ErrUnknown.Error(), nil)
+			writeProblem(w, http.StatusUnauthorized, identity.ErrUnknown.Error(), nil)
 			return
 		}
 		h(w, r, caller)
 	}
 }
 
-func (s *Server) asOperator(h operatorHandler) http.HandlerFunc {
+func (s *Server) authenticateOperator(h operatorHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		name, key, err := identity.Name(r)
 		if !identity.Matches(key, s.operatorHash(name)) || err != nil {
-			refuse(w, http.StatusUnauthorized, identity.ErrUnknown.Error(), nil)
+			writeProblem(w, http.StatusUnauthorized, identity.ErrUnknown.Error(), nil)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), operatorWithin)
+		ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 		defer cancel()
 		h(w, r.WithContext(ctx), name)
 	}
 }
 
-// operatorHash returns the hash of an operator's key: from the settings, or from the configuration in force.
+// operatorHash returns the hash of an operator's key from the settings, or else from the configuration in force.
+// It is empty if the operator is unknown.
 func (s *Server) operatorHash(name string) string {
 	for _, o := range s.Settings.Operators {
 		if o.Name == name {
@@ -150,18 +154,18 @@
 	return ""
 }
 
-// submit takes one request.
+// submit validates one request, passes it to the intake and replies with its outcome.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, caller contract.Caller) {
 	received := time.Now()
 	o := intake.Order{Identity: request.Identity{Caller: caller.Name, ID: r.Header.Get(HeaderKey)}, Received: received}
 	var findings finding.List
-	o.Round = readRound(r, &findings)
+	o.Round = parseRound(r, &findings)
 	s.decode(w, r, &o.Submission, &findings)
 	if len(findings) == 0 {
 		findings = append(findings, request.Validate(s.Config.Site(), caller, o.ID, o.Submission)...)
 	}
 	if len(findings) > 0 {
-		refuse(w, http.StatusUnprocessableEntity, "the request was not taken; nothing of it is kept", findings)
+		writeProblem(w, http.StatusUnprocessableEntity, "the request was not taken; nothing of it is kept", findings)
 		return
 	}
 	ctx, cancel := s.waitContext(r, o.Submission.Gang > 0)
@@ -169,7 +173,7 @@
 	s.reply(w, s.Intake.Submit(ctx, o))
 }
 
-func readRound(r *http.Request, findings *finding.List) int {
+func parseRound(r *http.Request, findings *finding.List) int {
 	text := r.Header.Get(HeaderRound)
 	if text == "" {
 		return 1
@@ -181,7 +185,7 @@
 	return round
 }
 
-// decode reads the body strictly.
+// decode decodes the JSON body. It reports unknown fields, trailing data and bodies that are too large.
 func (s *Server) decode(w http.ResponseWriter, r *http.Request, into any, findings *finding.List) {
 	body := http.MaxBytesReader(w, r.Body, int64(s.Settings.Limits.BodyBytes))
 	decoder := json.NewDecoder(body)
@@ -198,24 +202,24 @@
 	}
 }
 
-// waitContext returns a context that ends when the caller no longer wants to wait: for gangs at once unless the header
-// Prefer: wait=SECONDS says otherwise, for small requests when they are settled.
+// waitContext returns a context that ends when the caller no longer waits for the outcome. The header
+// Prefer: wait=SECONDS sets the time; without it, callers don't wait for gangs and wait maxWait for small requests.
 func (s *Server) waitContext(r *http.Request, gang bool) (context.Context, context.CancelFunc) {
-	wait := longestWait
+	wait := maxWait
 	if gang {
 		wait = 0
 	}
 	if text, ok := strings.CutPrefix(r.Header.Get("Prefer"), "wait="); ok {
 		if seconds, err := strconv.ParseFloat(text, 64); err == nil && seconds >= 0 {
-			wait = min(time.Duration(seconds*float64(time.Second)), longestWait)
+			wait = min(time.Duration(seconds*float64(time.Second)), maxWait)
 		}
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
-	stop := context.AfterFunc(s.leaving, cancel)
+	stop := context.AfterFunc(s.stopping, cancel)
 	return ctx, func() { stop(); cancel() }
 }
 
-// reply writes what a caller is told.
+// reply writes the reply to a caller with the HTTP status that fits its outcome.
 func (s *Server) reply(w http.ResponseWriter, reply request.Reply) {
 	status := http.StatusOK
 	switch reply.Outcome {
@@ -230,20 +234,20 @@
 	wire.Reply(w, status, reply)
 }
 
-// ask tells a caller what became of its request.
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, caller contract.Caller) {
+// status replies with the state of a caller's earlier request.
+func (s *Server) status(w http.ResponseWriter, r *http.Request, caller contract.Caller) {
 	id := request.Identity{Caller: caller.Name, ID: chi.URLParam(r, "id")}
 	ctx, cancel := s.waitContext(r, true)
 	defer cancel()
 	reply, err := s.Intake.Await(ctx, id)
 	if err != nil {
-		refuse(w, http.StatusNotFound, "no request of that id is known to this caller", nil)
+		writeProblem(w, http.StatusNotFound, "no request of that id is known to this caller", nil)
 		return
 	}
 	s.reply(w, reply)
 }
 
-// command carries out an operator's command.
+// command runs an operator's command.
 func (s *Server) command(w http.ResponseWriter, r *http.Request, name string) {
 	var body struct {
 		Command string `json:"command"`
@@ -251,7 +255,7 @@
 	var findings finding.List
 	s.decode(w, r, &body, &findings)
 	if len(findings) > 0 {
-		refuse(w, http.StatusUnprocessableEntity, "the command can't be read", findings)
+		writeProblem(w, http.StatusUnprocessableEntity, "the command can't be read", findings)
 		return
 	}
 	list, err := s.Desk.Run(r.Context(), name, body.Command)
@@ -259,40 +263,40 @@
 	switch {
 	case errors.As(err, &mistake):
 		findings.Add("command", "column "+strconv.Itoa(mistake.Column), mistake.Expected, "%s", mistake.Problem)
-		refuse(w, http.StatusBadRequest, "the command has a mistake", findings)
+		writeProblem(w, http.StatusBadRequest, "the command has a mistake", findings)
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, err.Error(), nil)
+		writeProblem(w, http.StatusServiceUnavailable, err.Error(), nil)
 	case list.Refused:
-		refuse(w, http.StatusConflict, list.Text, nil)
+		writeProblem(w, http.StatusConflict, list.Text, nil)
 	default:
 		wire.Reply(w, http.StatusOK, list)
 	}
 }
 
-// apply commits a configuration. The header If-Match names the version that it is meant to replace.
+// apply commits a configuration. The header If-Match names the version that it replaces.
 func (s *Server) apply(w http.ResponseWriter, r *http.Request, _ string) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSiteBytes))
 	if err != nil {
-		refuse(w, http.StatusRequestEntityTooLarge, "the configuration is too large", nil)
+		writeProblem(w, http.StatusRequestEntityTooLarge, "the configuration is too large", nil)
 		return
 	}
 	base := int64(-1)
 	if text := r.Header.Get("If-Match"); text != "" {
 		if base, err = strconv.ParseInt(text, 10, 64); err != nil {
-			refuse(w, http.StatusBadRequest, "If-Match is no version", nil)
+			writeProblem(w, http.StatusBadRequest, "If-Match is no version", nil)
 			return
 		}
 	}
 	version, err := s.Apply(r.Context(), string(raw), base)
 	var findings finding.List
-	var lost *ConflictError
+	var conflict *ConflictError
 	switch {
 	case errors.As(err, &findings):
-		refuse(w, http.StatusUnprocessableEntity, "the configuration was not taken", findings)
-	case errors.As(err, &lost):
-		refuse(w, http.StatusConflict, lost.Error(), nil)
+		writeProblem(w, http.StatusUnprocessableEntity, "the configuration was not taken", findings)
+	case errors.As(err, &conflict):
+		writeProblem(w, http.StatusConflict, conflict.Error(), nil)
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, err.Error(), nil)
+		writeProblem(w, http.StatusServiceUnavailable, err.Error(), nil)
 	default:
 		wire.Reply(w, http.StatusOK, struct {
 			Version int64 `json:"version"`
@@ -300,12 +304,12 @@
 	}
 }
 
-// ConflictError says that another configuration was committed first.
+// ConflictError reports that another configuration was committed first.
 type ConflictError struct {
-	Version int64 // In force now.
+	Version int64 // The version in force.
 }
 
-// Error names the version in force.
+// Error returns a message with the version in force.
 func (e *ConflictError) Error() string {
 	return "another configuration was committed first; version " + strconv.FormatInt(e.Version, 10) + " is in force"
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -11,7 +11,7 @@
 	"github.com/pulleyring/pulleyring/internal/standin"
 )
 
-// standinSettings is the settings file of the stand-ins.
+// standinSettings holds the settings of the stand-ins, which simulate the platform's services.
 type standinSettings struct {
 	Listen          string
 	WritesPerSecond int
@@ -48,21 +48,21 @@
 	}
 }
 
-// parseStandin reads the settings file of the stand-ins with every finding.
+// parseStandin parses the settings file of the stand-ins. The error lists every mistake found.
 func parseStandin(name string, raw []byte) (*standinSettings, error) {
 	s := defaultStandin()
 	options := s.options()
 	file := inifile.Parse(name, raw)
-	listed := false
+	hasStandin := false
 	for _, section := range file.Sections() {
 		if options[section.Kind] == nil {
 			section.Add("", "standin, faults", "is an unknown section")
 			continue
 		}
-		listed = listed || section.Kind == "standin"
+		hasStandin = hasStandin || section.Kind == "standin"
 		section.Read(options[section.Kind])
 	}
-	if !listed {
+	if !hasStandin {
 		file.Findings.Add(name, "standin", "a section with listen", "is missing")
 	}
 	return &s, file.Findings.Err()
@@ -101,7 +101,7 @@
 	log := newLog(e.err, "info")
 	log.Info("standin: serving on " + s.Listen)
 	if err := server.ListenAndServe(); err != nil && err != http.ErrServerClosed {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
-	return exitGood
+	return exitSuccess
 }
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -48,21 +48,21 @@
 	if *id == "" {
 		*id = xid.New().String()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), a.within+*wait)
+	ctx, cancel := context.WithTimeout(context.Background(), a.timeout+*wait)
 	defer cancel()
 	reply, err := client.Submit(ctx, *id, s, *wait)
 	if err != nil {
-		return e.fail(exitBad, err)
+		return e.fail(exitFailure, err)
 	}
 	return printReply(e, reply, *format)
 }
 
 func validFormat(format string) bool { return format == "text" || format == "json" }
 
-// printReply prints what a caller was told; what is neither done nor accepted exits non-zero.
+// printReply prints the reply and returns the exit code, which is 0 only if the request is done or accepted.
 func printReply(e *env, r request.Reply, format string) int {
 	if format == "json" {
-		raw, _ := json.Marshal(r) // A reply that was decoded always encodes.
+		raw, _ := json.Marshal(r) // Encoding a decoded reply never fails.
 		fmt.Fprintln(e.out, string(raw))
 	} else {
 		fmt.Fprintf(e.out, "%s: %s", r.ID, r.Outcome)
@@ -78,7 +78,7 @@
 		}
 	}
 	if r.Outcome == request.Done || r.Outcome == request.Accepted {
-		return exitGood
+		return exitSuccess
 	}
-	return exitBad
+	return exitFailure
 }
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,4 +1,4 @@
-// Package inifile reads INI documents and reports every mistake with its line.
+// Package inifile parses INI documents and reports every mistake with its line number.
 package inifile
 
 import (
@@ -8,13 +8,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// File is one parsed document; Findings grows while its sections are read.
+// File is one parsed document. Reading its sections adds to Findings.
 type File struct {
 	Name     string
 	Findings finding.List
 
 	file  *ini.File
-	lines map[string]int // Section, a line feed and the key, to the line number.
+	lines map[string]int // Line numbers by section name, line feed and key; the key is empty for the section itself.
 }
 
 // Section is one section; Kind is the part of its name before the first dot and Name the part after it.
@@ -27,7 +27,7 @@
 	body  *ini.Section
 }
 
-// Parse reads a document; what can't be parsed is a finding.
+// Parse parses a document and adds syntax errors to its findings.
 func Parse(name string, raw []byte) *File {
 	f := &File{Name: name, lines: map[string]int{}}
 	f.index(string(raw))
@@ -41,7 +41,7 @@
 	return f
 }
 
-// index remembers the line of every section and key, and reports lines that are neither and keys that stand twice.
+// index records the line number of every section and key. It reports duplicates and lines that are neither.
 func (f *File) index(text string) {
 	section := ""
 	for i, line := range strings.Split(text, "\n") {
@@ -51,51 +51,51 @@
 		}
 		if line[0] == '[' {
 			section = strings.TrimSpace(strings.Trim(line, "[]"))
-			f.remember(section, "", i+1)
+			f.recordLine(section, "", i+1)
 			continue
 		}
 		key, _, found := strings.Cut(line, "=")
 		if !found {
-			f.Findings.Add(f.place(i+1), section, "key = value", "%q is neither a section nor a key", line)
+			f.Findings.Add(f.position(i+1), section, "key = value", "%q is neither a section nor a key", line)
 			continue
 		}
-		f.remember(section, strings.TrimSpace(key), i+1)
+		f.recordLine(section, strings.TrimSpace(key), i+1)
 	}
 }
 
-func (f *File) remember(section, key string, line int) {
+func (f *File) recordLine(section, key string, line int) {
 	id := section + "\n" + key
 	if first := f.lines[id]; first > 0 {
 		what := "section"
 		if key != "" {
 			what = "key"
 		}
-		f.Findings.Add(f.place(line), dotted(section, key), "once", "the %s stands already in line %d", what, first)
+		f.Findings.Add(f.position(line), joinName(section, key), "once", "the %s stands already in line %d", what, first)
 		return
 	}
 	f.lines[id] = line
 }
 
-func dotted(section, key string) string {
+func joinName(section, key string) string {
 	if key == "" {
 		return section
 	}
 	return section + "." + key
 }
 
-func (f *File) place(line int) string {
+func (f *File) position(line int) string {
 	if line == 0 {
 		return f.Name
 	}
 	return f.Name + ":" + itoa(line)
 }
 
-// Sections returns the sections of the document in their order, without the unnamed one.
+// Sections returns the named sections in the order of the document.
 func (f *File) Sections() []Section {
 	var list []Section
 	for _, s := range f.file.Sections() {
 		if s.Name() == ini.DefaultSection {
-			f.reportStray(s)
+			f.reportUnnamedKeys(s)
 			continue
 		}
 		kind, name, _ := strings.Cut(s.Name(), ".")
@@ -104,17 +104,17 @@
 	return list
 }
 
-func (f *File) reportStray(s *ini.Section) {
+func (f *File) reportUnnamedKeys(s *ini.Section) {
 	for _, k := range s.Keys() {
-		f.Findings.Add(f.place(f.lines["\n"+k.Name()]), k.Name(), "a key inside a section", "stands before the first section")
+		f.Findings.Add(f.position(f.lines["\n"+k.Name()]), k.Name(), "a key inside a section", "stands before the first section")
 	}
 }
 
-// Add reports a finding about a key of the section; an empty key stands for the section.
+// Add adds a finding about a key of the section, or about the section itself if the key is empty.
 func (s Section) Add(key, allowed, problem string, args ...any) {
 	line := s.owner.lines[s.full+"\n"+key]
 	if line == 0 {
 		line = s.owner.lines[s.full+"\n"]
 	}
-	s.owner.Findings.Add(s.owner.place(line), dotted(s.full, key), allowed, problem, args...)
+	s.owner.Findings.Add(s.owner.position(line), joinName(s.full, key), allowed, problem, args...)
 }
--- a/internal/operator/cancel.go
+++ b/internal/operator/cancel.go
@@ -10,28 +10,28 @@
 	"github.com/pulleyring/pulleyring/internal/table"
 )
 
-// cancelsAtOnce bounds the cancellations of one command that wait for the table together.
-const cancelsAtOnce = 256
+// maxConcurrentCancels limits the concurrent cancellations of one command.
+const maxConcurrentCancels = 256
 
-// cancel ends one job, or all that meet the conditions.
+// cancel cancels one job, or all jobs that match the conditions.
 func (d *Desk) cancel(ctx context.Context, name string, c *command.Cancel) (*command.List, error) {
 	targets, refusal, err := d.targets(ctx, c)
 	if err != nil || refusal != nil {
 		return refusal, err
 	}
 	counts := d.cancelAll(ctx, name, targets)
-	answer := command.Did(counts.unrun+counts.stopping, "cancelled %d: %d will not run, %d were told to stop, %d were past cancelling",
-		len(targets), counts.unrun, counts.stopping, counts.past)
-	if counts.open > 0 {
-		answer.Text += "; the table did not say what became of " + itoa(counts.open) + ", repeating the command is safe"
+	answer := command.Did(counts.notRun+counts.stopping, "cancelled %d: %d will not run, %d were told to stop, %d were past cancelling",
+		len(targets), counts.notRun, counts.stopping, counts.tooLate)
+	if counts.unknown > 0 {
+		answer.Text += "; the table did not say what became of " + itoa(counts.unknown) + ", repeating the command is safe"
 	}
 	return answer, nil
 }
 
-// target is a job with the keeper of its hall.
+// target is a job to cancel, with the controller of its hall.
 type target struct {
-	keeper *hall.Keeper
-	entry  *hall.Entry
+	controller *hall.Keeper
+	entry      *hall.Entry
 }
 
 func (d *Desk) targets(ctx context.Context, c *command.Cancel) ([]target, *command.List, error) {
@@ -61,33 +61,34 @@
 	return list, nil, nil
 }
 
-// cancelCounts says what became of the jobs of one command.
-type cancelCounts struct{ unrun, stopping, past, open int }
+// cancelCounts counts the jobs of one command by result: cancelled before they ran, told to stop, too late to cancel,
+// and unknown because the table did not answer.
+type cancelCounts struct{ notRun, stopping, tooLate, unknown int }
 
 func (d *Desk) cancelAll(ctx context.Context, name string, targets []target) cancelCounts {
 	var mu sync.Mutex
 	var counts cancelCounts
 	var group sync.WaitGroup
-	slots := make(chan struct{}, cancelsAtOnce)
+	slots := make(chan struct{}, maxConcurrentCancels)
 	for _, t := range targets {
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			result, err := t.keeper.Cancel(ctx, t.entry, "cancelled by "+name)
+			result, err := t.controller.Cancel(ctx, t.entry, "cancelled by "+name)
 			mu.Lock()
 			defer mu.Unlock()
 			var conflict *table.Conflict
 			switch {
 			case errors.As(err, &conflict):
-				counts.past++
+				counts.tooLate++
 			case err != nil:
-				counts.open++
+				counts.unknown++
 			case result == hall.CancelUnrun:
-				counts.unrun++
+				counts.notRun++
 			case result == hall.CancelStopping:
 				counts.stopping++
 			default:
-				counts.past++
+				counts.tooLate++
 			}
 		})
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator carries out the operators' commands in a box.
+// Package operator runs the operators' commands in a box.
 package operator
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/pulleyring/pulleyring/internal/upstream"
 )
 
-// Desk carries out commands. Fill in the exported fields before use.
+// Desk runs commands. Set the exported fields before use.
 type Desk struct {
 	Box       string
 	Settings  *settings.Box
@@ -31,11 +31,11 @@
 	Network   link.Network
 	Recorder  *timeline.Recorder
 	Keepers   func() []*hall.Keeper
-	News      func(prefix string)
+	News      func(prefix string) // Announces to other boxes that the rows with a key prefix have changed.
 }
 
-// Run carries out one command of an operator. The error is a *command.Mistake, or says that the table or another box
-// could not be asked.
+// Run parses and runs one command of an operator. It returns a *command.Mistake if the command is invalid, and another
+// error if the table or another box did not answer.
 func (d *Desk) Run(ctx context.Context, name, text string) (*command.List, error) {
 	c, err := command.Parse(text)
 	if err != nil {
@@ -53,11 +53,12 @@
 	case c.Cancel != nil:
 		return d.cancel(ctx, name, c.Cancel)
 	}
-	return d.order(ctx, name, c)
+	return d.changeOrders(ctx, name, c)
 }
 
-// order changes the row of orders; where another operator changed it meanwhile, the command is judged anew.
-func (d *Desk) order(ctx context.Context, name string, c *command.Command) (*command.List, error) {
+// changeOrders applies a command to the orders and commits them. If another operator has changed the orders meanwhile,
+// it applies the command again to the new version.
+func (d *Desk) changeOrders(ctx context.Context, name string, c *command.Command) (*command.List, error) {
 	for {
 		if err := d.Config.Refresh(ctx); err != nil {
 			return nil, errors.Wrap(err, "operator: the table can't be asked")
@@ -65,7 +66,7 @@
 		orders := d.Config.Orders()
 		_, version := d.Config.Versions()
 		next := orders.Current(time.Now())
-		answer := d.change(&next, name, c)
+		answer := d.applyToOrders(&next, name, c)
 		if answer.Affected == 0 {
 			return answer, nil
 		}
@@ -84,8 +85,8 @@
 	}
 }
 
-// change applies a command to the orders and says what it did.
-func (d *Desk) change(o *config.Orders, name string, c *command.Command) *command.List {
+// applyToOrders applies a command to the orders and returns the answer, which says what changed.
+func (d *Desk) applyToOrders(o *config.Orders, name string, c *command.Command) *command.List {
 	switch {
 	case c.Drain != nil:
 		return d.drain(o, name, c.Drain)
@@ -99,10 +100,10 @@
 	return d.revoke(o, c.Revoke)
 }
 
-// Default lengths of orders that name none.
+// Default durations of claims and grants.
 const (
-	defaultClaim = 10 * time.Minute
-	defaultGrant = time.Hour
+	defaultClaimDuration = 10 * time.Minute
+	defaultGrantDuration = time.Hour
 )
 
 func (d *Desk) reclaim(o *config.Orders, name string, c *command.Reclaim) *command.List {
@@ -114,19 +115,19 @@
 		return command.Refuse("workspace %s has no guarantee", c.Workspace)
 	}
 	now := time.Now()
-	for _, held := range o.Claims {
-		if held.Workspace == c.Workspace {
-			return command.Did(0, "already claimed by %s until %s; nothing changed", held.Operator, held.Until.Format(time.RFC3339))
+	for _, existing := range o.Claims {
+		if existing.Workspace == c.Workspace {
+			return command.Did(0, "already claimed by %s until %s; nothing changed", existing.Operator, existing.Until.Format(time.RFC3339))
 		}
 	}
-	until := now.Add(length(c.For, defaultClaim))
+	until := now.Add(durationOr(c.For, defaultClaimDuration))
 	o.Claims = append(o.Claims, config.Claim{Workspace: c.Workspace, Operator: name, Until: until})
 	return command.Did(1, "claimed the %d accelerators of %s until %s", w.Guaranteed(), c.Workspace, until.Format(time.RFC3339))
 }
 
-func length(d command.Duration, otherwise time.Duration) time.Duration {
+func durationOr(d command.Duration, fallback time.Duration) time.Duration {
 	if d == 0 {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(d)
 }
@@ -139,12 +140,12 @@
 	if w.LimitAccelerators == 0 {
 		return command.Refuse("workspace %s has no limit that a grant could raise", c.Workspace)
 	}
-	for _, held := range o.Grants {
-		if held.Workspace == c.Workspace && held.Accelerators == c.Accelerators {
-			return command.Did(0, "already granted by %s until %s; nothing changed", held.Operator, held.Until.Format(time.RFC3339))
+	for _, existing := range o.Grants {
+		if existing.Workspace == c.Workspace && existing.Accelerators == c.Accelerators {
+			return command.Did(0, "already granted by %s until %s; nothing changed", existing.Operator, existing.Until.Format(time.RFC3339))
 		}
 	}
-	until := time.Now().Add(length(c.For, defaultGrant))
+	until := time.Now().Add(durationOr(c.For, defaultGrantDuration))
 	o.Grants = append(o.Grants, config.Grant{Workspace: c.Workspace, Accelerators: c.Accelerators, Operator: name, Until: until})
 	return command.Did(1, "granted %s %d accelerators beyond its limit until %s", c.Workspace, c.Accelerators, until.Format(time.RFC3339))
 }
@@ -153,14 +154,14 @@
 	before := len(o.Claims) + len(o.Grants)
 	claims, grants := o.Claims, o.Grants
 	o.Claims, o.Grants = nil, nil
-	for _, held := range claims {
-		if held.Workspace != c.Workspace {
-			o.Claims = append(o.Claims, held)
+	for _, existing := range claims {
+		if existing.Workspace != c.Workspace {
+			o.Claims = append(o.Claims, existing)
 		}
 	}
-	for _, held := range grants {
-		if held.Workspace != c.Workspace {
-			o.Grants = append(o.Grants, held)
+	for _, existing := range grants {
+		if existing.Workspace != c.Workspace {
+			o.Grants = append(o.Grants, existing)
 		}
 	}
 	ended := before - len(o.Claims) - len(o.Grants)
@@ -172,9 +173,9 @@
 	if refusal != nil {
 		return refusal
 	}
-	for _, held := range o.Drains {
-		if held.What == kind && held.Name == t.Name {
-			return command.Did(0, "%s %s is already drained by %s; nothing changed", kind, t.Name, held.Operator)
+	for _, existing := range o.Drains {
+		if existing.What == kind && existing.Name == t.Name {
+			return command.Did(0, "%s %s is already drained by %s; nothing changed", kind, t.Name, existing.Operator)
 		}
 	}
 	o.Drains = append(o.Drains, config.Drain{What: kind, Name: t.Name, Operator: name, At: time.Now()})
@@ -186,8 +187,8 @@
 	if refusal != nil {
 		return refusal
 	}
-	for i, held := range o.Drains {
-		if held.What == kind && held.Name == t.Name {
+	for i, existing := range o.Drains {
+		if existing.What == kind && existing.Name == t.Name {
 			o.Drains = append(o.Drains[:i:i], o.Drains[i+1:]...)
 			return command.Did(1, "undrained %s %s", kind, t.Name)
 		}
@@ -195,7 +196,7 @@
 	return command.Did(0, "%s %s is not drained; nothing changed", kind, t.Name)
 }
 
-// resolve finds out what kind of thing a name is, or refuses.
+// resolve returns the kind of the target, or a refusal if its name is unknown or ambiguous.
 func (d *Desk) resolve(t *command.Target) (string, *command.List) {
 	site := d.Config.Site()
 	var kinds []string
@@ -220,19 +221,19 @@
 	case 1:
 		return kinds[0], nil
 	case 0:
-		return "", command.Refuse("there is no %s %s", orThing(t.Kind), t.Name)
+		return "", command.Refuse("there is no %s %s", kindOrAll(t.Kind), t.Name)
 	}
 	return "", command.Refuse("%s may be a %s; name which", t.Name, strings.Join(kinds, " or a "))
 }
 
-func orThing(kind string) string {
+func kindOrAll(kind string) string {
 	if kind == "" {
 		return "worker, rack, hall or upstream"
 	}
 	return kind
 }
 
-// why asks the box that decides for the job's hall.
+// why returns the state of a job. For a waiting job it asks the box that schedules the job's hall for the reason.
 func (d *Desk) why(ctx context.Context, job string) (*command.List, error) {
 	k, e, err := d.find(ctx, job)
 	if err != nil {
@@ -259,7 +260,7 @@
 	return command.Did(0, "%s in %s %s", e.Key(), k.Hall, text), nil
 }
 
-// find returns the unfinished job that a key, or an id alone, names.
+// find returns the unfinished job with a key or an ID, or nil if there is none.
 func (d *Desk) find(ctx context.Context, job string) (*hall.Keeper, *hall.Entry, error) {
 	for _, k := range d.Keepers() {
 		if err := k.Book.Refresh(ctx); err != nil {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,4 +1,4 @@
-// Package site reads a site's configuration from its INI document and checks it.
+// Package site parses and validates a site's configuration, an INI document.
 package site
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/pulleyring/pulleyring/pkg/contract"
 )
 
-// Defaults returns an empty site with the default of every option.
+// Defaults returns an empty site with the default values of the site section's options.
 func Defaults() contract.Site {
 	return contract.Site{
 		CompletionWeight:   0.5,
@@ -22,16 +22,17 @@
 	}
 }
 
-// Parse reads a document and returns the site with every finding, those about guarantees that do not fit included.
+// Parse parses a document and returns the site. The error lists every mistake, including guarantees that don't fit
+// the site's workers.
 func Parse(name string, raw []byte) (*contract.Site, error) {
 	file := inifile.Parse(name, raw)
 	r := &reader{file: file, site: Defaults(), halls: map[string]int{}, seen: map[string]bool{}}
 	sections := file.Sections()
 	for _, s := range sections {
-		r.readFirst(s)
+		r.readIndependent(s)
 	}
 	for _, s := range sections {
-		r.readSecond(s)
+		r.readDependent(s)
 	}
 	r.checkWhole()
 	if err := file.Findings.Err(); err != nil {
@@ -40,7 +41,8 @@
 	return &r.site, nil
 }
 
-// reader collects a site; halls go first because racks and upstreams name them.
+// reader builds a site from sections in two passes. Halls and workspaces are read in the first pass because racks,
+// upstreams and callers refer to them.
 type reader struct {
 	file  *inifile.File
 	site  contract.Site
@@ -48,7 +50,7 @@
 	seen  map[string]bool
 }
 
-func (r *reader) readFirst(s inifile.Section) {
+func (r *reader) readIndependent(s inifile.Section) {
 	switch s.Kind {
 	case "site":
 		s.Read(siteOptions(&r.site))
@@ -69,7 +71,7 @@
 	}
 }
 
-func (r *reader) readSecond(s inifile.Section) {
+func (r *reader) readDependent(s inifile.Section) {
 	switch s.Kind {
 	case "site", "hall", "workspace":
 	case "rack":
@@ -89,7 +91,7 @@
 }
 
 func (r *reader) readRack(s inifile.Section) {
-	d := rackForm{Count: 1}
+	d := rackSection{Count: 1}
 	s.Read(rackOptions(&d))
 	rack := contract.Rack{Name: r.name(s), Hall: d.Hall}
 	for i := range d.Count {
@@ -108,7 +110,7 @@
 }
 
 func (r *reader) readUpstreams(s inifile.Section) {
-	d := upstreamForm{Count: 1, Slots: 8, Connections: 60}
+	d := upstreamSection{Count: 1, Slots: 8, Connections: 60}
 	s.Read(upstreamOptions(&d))
 	name := r.name(s)
 	if _, ok := r.halls[d.Hall]; !ok && d.Hall != "" {
@@ -132,7 +134,7 @@
 	r.site.Callers = append(r.site.Callers, c)
 }
 
-// name returns the section's name and reports one that is missing, malformed or given twice.
+// name returns the section's name and reports one that is missing or malformed.
 func (r *reader) name(s inifile.Section) string {
 	if !inifile.ValidName(s.Name) {
 		s.Add("", s.Kind+".NAME of letters, digits, - and _", "has no proper name")
@@ -140,13 +142,13 @@
 	return s.Name
 }
 
-// checkWhole reports what can only be seen in the whole document.
+// checkWhole reports mistakes that only show in the whole document: a missing name and guarantees that don't fit.
 func (r *reader) checkWhole() {
 	if r.site.Name == "" {
 		r.file.Findings.Add(r.file.Name, "site.name", "a name", "is missing")
 	}
 	if len(r.file.Findings) > 0 {
-		return // The plan would only repeat what is wrong already.
+		return // The plan would repeat the mistakes already found.
 	}
 	_, findings := pledge.Plan(&r.site, nil)
 	for _, f := range findings {
@@ -154,19 +156,19 @@
 	}
 }
 
-// Describe writes every option of the document.
+// Describe writes the documentation of every option in the site configuration.
 func Describe(w io.Writer) {
 	site := Defaults()
 	inifile.Describe(w, "site", siteOptions(&site))
 	inifile.Describe(w, "hall.NAME", hallOptions(&contract.Hall{}))
-	inifile.Describe(w, "rack.NAME", rackOptions(&rackForm{Count: 1}))
-	inifile.Describe(w, "upstreams.NAME", upstreamOptions(&upstreamForm{Count: 1, Slots: 8, Connections: 60}))
+	inifile.Describe(w, "rack.NAME", rackOptions(&rackSection{Count: 1}))
+	inifile.Describe(w, "upstreams.NAME", upstreamOptions(&upstreamSection{Count: 1, Slots: 8, Connections: 60}))
 	inifile.Describe(w, "workspace.NAME", workspaceOptions(&contract.Workspace{Share: 1, BlockAccelerators: 1}))
 	inifile.Describe(w, "caller.NAME", callerOptions(&contract.Caller{}))
 	inifile.Describe(w, "operator.NAME", operatorOptions(&contract.Operator{}))
 }
 
-// Expand replaces values of the form @FILE by the trimmed content of the file, read with read.
+// Expand replaces every value of the form @FILE with the trimmed content of that file, which the function read returns.
 func Expand(raw []byte, read func(name string) ([]byte, error)) ([]byte, error) {
 	lines := strings.Split(string(raw), "\n")
 	for i, line := range lines {
