--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -45,7 +45,7 @@
 	Settings *settings.Box
 	Config   *config.Keeper
 	Intake   *intake.Intake
-	Desk     *operator.Desk
+	Operator *operator.Runner
 	// Apply commits a configuration and returns its version. The argument base is the version to replace, or -1.
 	Apply    func(ctx context.Context, text string, base int64) (int64, error)
 	Timeline func(ctx context.Context, job string) []timeline.Event // Returns the events of all boxes.
@@ -157,7 +157,7 @@
 // submit validates one request, passes it to the intake and replies with its outcome.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, caller contract.Caller) {
 	received := time.Now()
-	o := intake.Order{Identity: request.Identity{Caller: caller.Name, ID: r.Header.Get(HeaderKey)}, Received: received}
+	o := intake.Request{Identity: request.Identity{Caller: caller.Name, ID: r.Header.Get(HeaderKey)}, Received: received}
 	var findings finding.List
 	o.Round = parseRound(r, &findings)
 	s.decode(w, r, &o.Submission, &findings)
@@ -258,7 +258,7 @@
 		writeProblem(w, http.StatusUnprocessableEntity, "the command can't be read", findings)
 		return
 	}
-	list, err := s.Desk.Run(r.Context(), name, body.Command)
+	list, err := s.Operator.Run(r.Context(), name, body.Command)
 	var mistake *command.Mistake
 	switch {
 	case errors.As(err, &mistake):
--- a/internal/awake/awake.go
+++ b/internal/awake/awake.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// Slept returns how long the machine has been suspended since it booted, or 0 where the system does not report it.
+// Suspended returns how long the machine has been suspended since it booted, or 0 where the system does not report it.
 // The value never decreases, and changes of the wall clock do not affect it.
-func Slept() time.Duration { return suspended() }
+func Suspended() time.Duration { return suspended() }
 
 // Limits for comparing the clocks. A process that is paused between two readings must not look like a suspended
 // machine, so the readings are repeated until they lie close together.
--- a/internal/awake/awake_test.go
+++ b/internal/awake/awake_test.go
@@ -50,9 +50,9 @@
 // TestSuspendedTimeStaysConstant reads the real clocks. The machine is assumed not to be suspended during the test,
 // so successive values must differ by less than a millisecond.
 func TestSuspendedTimeStaysConstant(t *testing.T) {
-	before := Slept()
+	before := Suspended()
 	for range 1000 {
-		now := Slept()
+		now := Suspended()
 		quicktest.Assert(t, now-before < time.Millisecond && before-now < time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s, then %s", before, now))
 	}
 }
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -47,7 +47,7 @@
 	Committer *table.Committer
 	Members   *member.Members
 	Intake    *intake.Intake
-	Desk      *operator.Desk
+	Desk      *operator.Runner
 	API       *api.Server
 	Recorder  *timeline.Recorder
 	Registry  metrics.Registry
@@ -56,8 +56,8 @@
 	platform    Platform
 	readLimiter *rate.Limiter
 	mu          sync.Mutex
-	keepers     map[string]*hall.Keeper // By name of the hall.
-	hallNames   []string                // Names of the halls in the order of the configuration.
+	keepers     map[string]*hall.Controller // By name of the hall.
+	hallNames   []string                    // Names of the halls in the order of the configuration.
 	background  sync.WaitGroup
 	ctx         context.Context
 }
@@ -70,10 +70,10 @@
 
 // New creates a box with its components; Run starts them.
 func New(s *settings.Box, p Platform, log *zap.Logger) *Box {
-	b := &Box{Settings: s, Log: log, platform: p, Registry: metrics.NewRegistry(), keepers: map[string]*hall.Keeper{}}
+	b := &Box{Settings: s, Log: log, platform: p, Registry: metrics.NewRegistry(), keepers: map[string]*hall.Controller{}}
 	b.readLimiter = rate.NewLimiter(rate.Limit(s.Budget.ReadsPerSecond), burst(s.Budget.ReadsPerSecond))
-	b.platform.Table = &table.Budgeted{Service: p.Table, Reads: b.readLimiter}
-	b.Recorder = &timeline.Recorder{Box: s.Name, Most: s.Limits.TimelineEvents}
+	b.platform.Table = &table.RateLimited{Service: p.Table, Reads: b.readLimiter}
+	b.Recorder = &timeline.Recorder{Box: s.Name, MaxEvents: s.Limits.TimelineEvents}
 	b.Config = &config.Keeper{Table: b.platform.Table, Changed: b.configChanged}
 	b.Committer = &table.Committer{Service: p.Table, Limiter: rate.NewLimiter(rate.Limit(s.Budget.WritesPerSecond), burst(s.Budget.WritesPerSecond))}
 	b.Members = &member.Members{
@@ -82,12 +82,12 @@
 	}
 	router := &upstream.Router{Hall: s.Hall, RetryShare: s.Limits.RetryShare, EjectShare: s.Limits.EjectShare}
 	b.Intake = b.newIntake(router)
-	b.Desk = &operator.Desk{
+	b.Desk = &operator.Runner{
 		Box: s.Name, Settings: s, Config: b.Config, Committer: b.Committer, Intake: b.Intake, Router: router,
-		Members: b.Members, Network: clockedNetwork{b}, Recorder: b.Recorder, Keepers: b.Keepers, News: b.notifyChange,
+		Members: b.Members, Network: clockedNetwork{b}, Recorder: b.Recorder, Controllers: b.Keepers, AnnounceChange: b.notifyChange,
 	}
 	b.API = &api.Server{
-		Settings: s, Config: b.Config, Intake: b.Intake, Desk: b.Desk, Apply: b.apply, Timeline: b.timeline, Registry: b.Registry,
+		Settings: s, Config: b.Config, Intake: b.Intake, Operator: b.Desk, Apply: b.apply, Timeline: b.timeline, Registry: b.Registry,
 	}
 	b.registerGauges()
 	return b
@@ -99,10 +99,10 @@
 func (b *Box) newIntake(router *upstream.Router) *intake.Intake {
 	return &intake.Intake{
 		Box: b.Settings.Name, Settings: b.Settings, Table: b.platform.Table, Committer: b.Committer, Objects: b.platform.Objects,
-		Upstreams: b.platform.Upstreams, Router: router, Admission: &intake.Admission{Most: b.Settings.Limits.InFlight},
-		Config: b.Config, Recorder: b.Recorder, Log: b.Log, Loads: b.loads, News: b.notifyChange, Alive: b.Members.Alive,
-		Sweeps:  func() bool { return b.Members.PreferredFor("open").Name == b.Settings.Name },
-		Metrics: b.intakeMetrics(), Slept: awake.Slept,
+		Upstreams: b.platform.Upstreams, Router: router, Admission: &intake.Admission{MaxInFlight: b.Settings.Limits.InFlight},
+		Config: b.Config, Recorder: b.Recorder, Log: b.Log, Loads: b.loads, NotifyChange: b.notifyChange, Alive: b.Members.Alive,
+		SettlesPending: func() bool { return b.Members.PreferredFor("open").Name == b.Settings.Name },
+		Metrics:        b.intakeMetrics(), Suspended: awake.Suspended,
 	}
 }
 
@@ -170,18 +170,18 @@
 }
 
 // keeper returns the keeper of a hall, creating and starting it if there is none.
-func (b *Box) keeper(name string) *hall.Keeper {
+func (b *Box) keeper(name string) *hall.Controller {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if k := b.keepers[name]; k != nil {
 		return k
 	}
-	k := &hall.Keeper{
-		Hall: name, Settings: b.Settings, Committer: b.Committer, Book: &hall.Book{Hall: name, Table: b.platform.Table},
+	k := &hall.Controller{
+		Hall: name, Settings: b.Settings, Committer: b.Committer, Rows: &hall.RowCache{Hall: name, Table: b.platform.Table},
 		Workers: b.platform.Workers, Objects: b.platform.Objects, Config: b.Config, Recorder: b.Recorder, Log: b.Log,
 		Policy:    decider.Pulleyring{},
 		Preferred: func() bool { return b.Members.Preferred(name).Name == b.Settings.Name },
-		Loads:     b.loads, Settled: b.deliverOutcome, News: b.notifyChange, Metrics: b.hallMetrics(),
+		Loads:     b.loads, NotifySettled: b.deliverOutcome, NotifyChanged: b.notifyChange, Metrics: b.hallMetrics(),
 	}
 	b.keepers[name] = k
 	b.hallNames = append(b.hallNames, name)
@@ -190,10 +190,10 @@
 }
 
 // Keepers returns the keepers of all halls.
-func (b *Box) Keepers() []*hall.Keeper {
+func (b *Box) Keepers() []*hall.Controller {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	list := make([]*hall.Keeper, len(b.hallNames))
+	list := make([]*hall.Controller, len(b.hallNames))
 	for i, name := range b.hallNames {
 		list[i] = b.keepers[name]
 	}
@@ -262,7 +262,7 @@
 		return false
 	}
 	for _, k := range b.Keepers() {
-		if k.Busy() > 0 {
+		if k.BusyJobs() > 0 {
 			return false
 		}
 	}
--- a/internal/box/message.go
+++ b/internal/box/message.go
@@ -51,7 +51,7 @@
 	switch {
 	case question.Why != "":
 		for _, k := range b.Keepers() {
-			if text := k.Why(question.Why); text != "" {
+			if text := k.WaitReason(question.Why); text != "" {
 				reply.Text = text
 			}
 		}
@@ -74,7 +74,7 @@
 	}
 	for _, keeper := range b.Keepers() {
 		if settlement.HallPrefix(keeper.Hall) == prefix {
-			keeper.Stale()
+			keeper.MarkStale()
 		}
 	}
 }
@@ -91,7 +91,7 @@
 			b.sendInBackground(to, m)
 			return
 		}
-		k.Stale()
+		k.MarkStale()
 		return
 	}
 	for _, p := range b.Members.Peers() {
--- a/internal/box/script_test.go
+++ b/internal/box/script_test.go
@@ -61,7 +61,7 @@
 const callerTimeout = 3 * time.Minute
 
 // runScript runs a script file and returns the judgement. The error names the first line that failed.
-func runScript(t *testing.T, file string, broken safetyRules) (*judge.Judgement, error) {
+func runScript(t *testing.T, file string, broken safetyRules) (*judge.Report, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -70,12 +70,12 @@
 }
 
 // runLines runs the lines of a script with some safety rules broken; name is used in errors.
-func runLines(t *testing.T, name string, lines []string, broken safetyRules) (result *judge.Judgement, failure error) {
+func runLines(t *testing.T, name string, lines []string, broken safetyRules) (result *judge.Report, failure error) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		ts := newTestSite(ctx, qt.New(t), 1)
 		ts.brokenRules = broken
-		ts.platform.Workers.Lax = standin.Laxity{LapsedHolds: broken.useExpiredHolds, ForgetStops: broken.ignoreStops}
+		ts.platform.Workers.Disabled = standin.DisabledChecks{HoldExpiry: broken.useExpiredHolds, StopFence: broken.ignoreStops}
 		s := &script{testSite: ts, submittedAt: map[string]time.Time{}}
 		for i, line := range lines {
 			line, _, _ = strings.Cut(line, "#")
@@ -96,12 +96,12 @@
 }
 
 // checkJudgement returns an error if a script failed, broke a safety guarantee, or left a request unsettled.
-func checkJudgement(j *judge.Judgement, failure error) error {
+func checkJudgement(j *judge.Report, failure error) error {
 	if failure != nil {
 		return failure
 	}
-	if j.Broken() > 0 || j.Settled+j.Unknowable != j.Requests {
-		return fmt.Errorf("promises are broken: %s", j.Line())
+	if j.Violations() > 0 || j.Settled+j.Unknowable != j.Requests {
+		return fmt.Errorf("promises are broken: %s", j.JSON())
 	}
 	return nil
 }
@@ -145,9 +145,9 @@
 		s.network.SetDisconnected(args[0], true)
 		s.boxes[args[0]].gate.set(func(g *gate) { g.tableDisconnected = true })
 	case "blank_worker":
-		s.platform.Workers.Blank(args[0])
+		s.platform.Workers.LoseRecords(args[0])
 	case "blank_upstream":
-		s.platform.Executors.Blank(args[0])
+		s.platform.Executors.LoseRecords(args[0])
 		s.stateLost = true
 	case "leave":
 		go s.boxes[args[0]].shutDown()
@@ -326,7 +326,7 @@
 	var list []string
 	for _, caller := range s.callers {
 		if !caller.Settled() && !(caller.Unknowable() && s.stateLost) {
-			list = append(list, fmt.Sprintf("%s (%s %s)", caller.Identity, caller.Last().Outcome, caller.Last().Reason))
+			list = append(list, fmt.Sprintf("%s (%s %s)", caller.Identity, caller.LastReply().Outcome, caller.LastReply().Reason))
 		}
 	}
 	return list
@@ -334,9 +334,9 @@
 
 func (s *script) expect(figure, count string) error {
 	j := s.judge()
-	got := map[string]int{"done": j.Done, "failed": j.Failed, "not_run": j.NotRun, "settled": j.Settled, "requests": j.Requests, "broken": j.Broken()}
+	got := map[string]int{"done": j.Done, "failed": j.Failed, "not_run": j.NotRun, "settled": j.Settled, "requests": j.Requests, "broken": j.Violations()}
 	if value, known := got[figure]; !known || strconv.Itoa(value) != count {
-		return fmt.Errorf("%s is %d: %s", figure, value, j.Line())
+		return fmt.Errorf("%s is %d: %s", figure, value, j.JSON())
 	}
 	return nil
 }
--- a/internal/box/world_test.go
+++ b/internal/box/world_test.go
@@ -318,7 +318,7 @@
 	mu        sync.Mutex
 	boxes     map[string]*runningBox
 	liveBoxes []string
-	callers   []*judge.Told
+	callers   []*judge.RequestHistory
 	calls     sync.WaitGroup
 }
 
@@ -394,7 +394,7 @@
 // submit starts a caller that submits a request and polls until it is settled or the timeout has passed. It calls
 // the boxes in turn, beginning with number first.
 func (ts *testSite) submit(id request.Identity, submission request.Submission, firstBox int, timeout time.Duration) {
-	caller := &judge.Told{Identity: id, Submission: submission}
+	caller := &judge.RequestHistory{Identity: id, Submission: submission}
 	ts.mu.Lock()
 	ts.callers = append(ts.callers, caller)
 	ts.mu.Unlock()
@@ -408,7 +408,7 @@
 						return reply, nil
 					}
 				}
-				return b.Intake.Submit(ctx, intake.Order{Identity: id, Round: n + 1, Received: time.Now(), Submission: submission}), nil
+				return b.Intake.Submit(ctx, intake.Request{Identity: id, Round: n + 1, Received: time.Now(), Submission: submission}), nil
 			})
 			if answered {
 				ts.mu.Lock()
@@ -472,15 +472,15 @@
 const maxCallTime = 2 * time.Minute
 
 // lastReply returns the last reply that a caller received.
-func (ts *testSite) lastReply(caller *judge.Told) request.Reply {
+func (ts *testSite) lastReply(caller *judge.RequestHistory) request.Reply {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	return caller.Last()
+	return caller.LastReply()
 }
 
 // judge polls every request once more through every live box and then checks the replies and runs against the safety
 // guarantees. Callers without an outcome keep polling meanwhile.
-func (ts *testSite) judge() *judge.Judgement {
+func (ts *testSite) judge() *judge.Report {
 	for _, name := range ts.liveBoxes {
 		b := ts.boxes[name]
 		for _, caller := range ts.callers {
@@ -494,7 +494,7 @@
 	}
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	return judge.Judge(ts.callers, ts.platform.Records())
+	return judge.Evaluate(ts.callers, ts.platform.Records())
 }
 
 // payload returns a payload that runs for the given time and is unique to the request.
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -26,8 +26,8 @@
 	if err != nil {
 		return e.fail(exitFailure, err)
 	}
-	fmt.Fprintln(e.out, judgement.Line())
-	if !demo.Good(judgement) {
+	fmt.Fprintln(e.out, judgement.JSON())
+	if !demo.Passed(judgement) {
 		return exitFailure
 	}
 	return exitSuccess
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -51,10 +51,10 @@
 		Store:          &platform.Store{Address: s.Store, Client: platform.NewClient()},
 		Network:        &relay.HTTP{Client: platform.NewClient()},
 		Configurations: func(st store.Store) node.Configurations { return &platform.Configurations{Store: st} },
-		Directory: func(st store.Store, f *measure.Figures) scheduler.Directory {
-			return &platform.Directory{Store: st, Log: log, Figures: f}
+		Directory: func(st store.Store, f *measure.Metrics) scheduler.Directory {
+			return &platform.Directory{Store: st, Log: log, Metrics: f}
 		},
-		Orders:    &platform.Workers{Client: platform.NewWorkerClient(platform.IdleConnections(s.Means.Descriptors))},
+		Commands:  &platform.Workers{Client: platform.NewWorkerClient(platform.IdleConnections(s.Means.Descriptors))},
 		Front:     platform.Front,
 		Readiness: platform.Readiness,
 	}
--- a/internal/decider/baseline.go
+++ b/internal/decider/baseline.go
@@ -46,7 +46,7 @@
 	}
 	slices.SortFunc(order, func(x, y int) int {
 		a, b := &running[x], &running[y]
-		return cmp.Or(compareBool(a.Job.Lendable(), b.Job.Lendable()), a.Started.Compare(b.Started), cmp.Compare(a.Job.Key, b.Job.Key))
+		return cmp.Or(compareBool(a.Job.MayBorrow(), b.Job.MayBorrow()), a.Started.Compare(b.Started), cmp.Compare(a.Job.Key, b.Job.Key))
 	})
 	used := map[string]int{}
 	for _, i := range order {
@@ -55,7 +55,7 @@
 		if used[j.Workspace] <= q.guaranteed[j.Workspace] {
 			continue
 		}
-		if j.Lendable() {
+		if j.MayBorrow() {
 			q.borrowers = append(q.borrowers, i)
 		} else {
 			q.unguaranteed -= j.Accelerators()
@@ -74,12 +74,12 @@
 	if q.overLimit(j) {
 		return false
 	}
-	return j.Lendable() || q.withinGuarantee(j) || j.Accelerators() <= q.unguaranteed
+	return j.MayBorrow() || q.withinGuarantee(j) || j.Accelerators() <= q.unguaranteed
 }
 
 // startCounted starts a job and subtracts it from unguaranteed if it cannot be stopped and exceeds its guarantee.
 func (q *quotaPlanner) startCounted(j *Job, members []Member, code Code) {
-	if !j.Lendable() && !q.withinGuarantee(j) {
+	if !j.MayBorrow() && !q.withinGuarantee(j) {
 		q.unguaranteed -= j.Accelerators()
 	}
 	q.start(j, members, &Reason{Code: code})
--- a/internal/decider/covered.go
+++ b/internal/decider/guaranteed.go
@@ -43,13 +43,13 @@
 // pledge. Only smaller gangs may, so that two gangs cannot preempt each other in turn.
 func (pl *planner) smallerOnSamePledge(i int, j *Job) bool {
 	r := &pl.view.Running[i]
-	return pl.charges[i] == guaranteed && !pl.stopping[i] && r.Job.Workspace == j.Workspace && r.Job.Lendable() &&
+	return pl.charges[i] == guaranteed && !pl.stopping[i] && r.Job.Workspace == j.Workspace && r.Job.MayBorrow() &&
 		r.Job.Accelerators() < j.Accelerators()
 }
 
 // borrows reports whether a running gang uses borrowed devices, which can be reclaimed.
 func (pl *planner) borrows(i int) bool {
-	return pl.charges[i] == borrowed && pl.view.Running[i].Job.Lendable()
+	return pl.charges[i] == borrowed && pl.view.Running[i].Job.MayBorrow()
 }
 
 // withinPledge reports whether the job is guaranteed: it fits the accelerators pledged to its workspace in this hall
@@ -88,7 +88,7 @@
 	}
 	pl.reserveDevices(j, best.members)
 	pl.releaseRack(j.Key)
-	pl.outcome.SetAsides = append(pl.outcome.SetAsides, SetAside{Job: j.Key, Rack: best.rack, Since: pl.view.Now, Preempting: true, Pledged: true})
+	pl.outcome.RackReservations = append(pl.outcome.RackReservations, RackReservation{Job: j.Key, Rack: best.rack, Since: pl.view.Now, Preempting: true, Pledged: true})
 	pl.recordWait(index, &Reason{Code: AwaitsReclaim, Rack: reason.Rack, Who: j.Workspace})
 	return true
 }
--- a/internal/decider/health.go
+++ b/internal/decider/health.go
@@ -28,8 +28,8 @@
 	probation  bool
 }
 
-// Succeeded records that a member of a job ran to its end on a worker.
-func (h *Health) Succeeded(worker, job string) {
+// RecordSuccess records that a member of a job ran to its end on a worker.
+func (h *Health) RecordSuccess(worker, job string) {
 	delete(h.workers, worker)
 	delete(h.jobs, job)
 }
@@ -37,8 +37,8 @@
 // Forget deletes the failures of a job that is settled as cancelled or failed.
 func (h *Health) Forget(job string) { delete(h.jobs, job) }
 
-// Failed records that a member of a job failed on a worker.
-func (h *Health) Failed(worker, job string, now time.Time) {
+// RecordFailure records that a member of a job failed on a worker.
+func (h *Health) RecordFailure(worker, job string, now time.Time) {
 	if h.workers == nil {
 		h.workers = map[string]*workerHealth{}
 		h.jobs = map[string]map[string]bool{}
--- a/internal/decider/board.go
+++ b/internal/decider/planner.go
@@ -115,7 +115,7 @@
 	}
 	slices.SortFunc(order, func(x, y int) int {
 		p, q := &pl.view.Running[x], &pl.view.Running[y]
-		return cmp.Or(compareBool(p.Job.Lendable(), q.Job.Lendable()), p.Started.Compare(q.Started), cmp.Compare(p.Job.Key, q.Job.Key))
+		return cmp.Or(compareBool(p.Job.MayBorrow(), q.Job.MayBorrow()), p.Started.Compare(q.Started), cmp.Compare(p.Job.Key, q.Job.Key))
 	})
 	for _, i := range order {
 		if !pl.stopping[i] {
@@ -144,7 +144,7 @@
 		}
 		return guaranteed
 	}
-	if j.Lendable() {
+	if j.MayBorrow() {
 		return borrowed
 	}
 	for _, m := range members {
@@ -174,7 +174,7 @@
 	p := pl.workers[m.Worker].pledgeOf(j.Workspace)
 	shape := j.Shape.Times(m.Count)
 	p.used = p.used.Add(shape)
-	if !j.Lendable() {
+	if !j.MayBorrow() {
 		p.unstoppable = p.unstoppable.Add(shape)
 	}
 	pl.charged[j.Workspace] += shape.Accelerators
--- a/internal/decider/pulleyring.go
+++ b/internal/decider/pulleyring.go
@@ -22,7 +22,7 @@
 	rest = pl.servePreempting(rest)
 	pl.keepRackReservations(rest)
 	rest = pl.serveGuaranteed(rest)
-	for _, workspace := range v.Claims {
+	for _, workspace := range v.Reclaiming {
 		pl.reclaimWholePledge(workspace)
 	}
 	pl.serveRest(rest)
@@ -46,7 +46,7 @@
 			pl.failJob(j, &Reason{Code: NeverFits})
 		case pl.failsAlways(j):
 			pl.failJob(j, &Reason{Code: FailsAlways, Detail: join(j.FailedOn)})
-		case j.Losses >= LossesToGiveUp:
+		case j.Losses >= MaxWorkerLosses:
 			pl.failJob(j, &Reason{Code: LosesWorkers})
 		default:
 			rest = append(rest, i)
@@ -55,9 +55,9 @@
 	return rest
 }
 
-// LossesToGiveUp is the number of counted attempts that lost a worker after which a job fails. Workers are also lost
+// MaxWorkerLosses is the number of counted attempts that lost a worker after which a job fails. Workers are also lost
 // for reasons unrelated to the job, and a loss does not show its cause, so the limit is high.
-const LossesToGiveUp = 5
+const MaxWorkerLosses = 5
 
 // gangRequest holds the request of a gang that determines whether it can ever fit.
 type gangRequest struct {
@@ -67,7 +67,7 @@
 
 // failJob decides to fail a job.
 func (pl *planner) failJob(j *Job, reason *Reason) {
-	pl.outcome.Decisions = append(pl.outcome.Decisions, Decision{Kind: GiveUp, Job: j.Key, Reason: reason})
+	pl.outcome.Decisions = append(pl.outcome.Decisions, Decision{Kind: Fail, Job: j.Key, Reason: reason})
 }
 
 // failsAlways reports whether a job failed on as many healthy workers as the site allows, or on so many that no rack
@@ -106,7 +106,7 @@
 
 // requestClassOf returns the class of a waiting job.
 func requestClassOf(j *Job) requestClass {
-	return requestClass{j.Workspace, gangRequest{j.Gang, j.Shape}, j.Lendable(), j.Urgent}
+	return requestClass{j.Workspace, gangRequest{j.Gang, j.Shape}, j.MayBorrow(), j.Urgent}
 }
 
 // serveGuaranteed starts guaranteed jobs or reclaims devices for them, and returns the indexes of the other jobs.
@@ -137,7 +137,7 @@
 	if pl.startOnPledge(j, pl.reservedFor) {
 		return true
 	}
-	if j.Lendable() && pl.startBest(j) {
+	if j.MayBorrow() && pl.startBest(j) {
 		return true
 	}
 	return (j.Urgent || pl.age(j) >= pl.reclaimWait()) && pl.startOnPledge(j, nil)
--- a/internal/decider/setaside.go
+++ b/internal/decider/rack_reservation.go
@@ -26,8 +26,8 @@
 // servePreempting starts the gangs for which others were preempted, or keeps their devices reserved. It returns the
 // indexes of the other jobs.
 func (pl *planner) servePreempting(indexes []int) []int {
-	reservations := map[string]SetAside{}
-	for _, s := range pl.view.SetAsides {
+	reservations := map[string]RackReservation{}
+	for _, s := range pl.view.RackReservations {
 		if s.Preempting {
 			reservations[s.Job] = s
 		}
@@ -48,7 +48,7 @@
 
 // serveOnPreemptedRack starts a gang for which others were preempted, or keeps its devices reserved. It returns false
 // if the rack cannot fit it any more.
-func (pl *planner) serveOnPreemptedRack(index int, j *Job, s SetAside) bool {
+func (pl *planner) serveOnPreemptedRack(index int, j *Job, s RackReservation) bool {
 	name := pl.view.Racks[s.Rack].Name
 	room := func(int) contract.Shape {
 		return contract.Shape{CPUs: contract.MaxCopies, MemoryGB: contract.MaxCopies, Accelerators: contract.MaxCopies}
@@ -58,7 +58,7 @@
 	case s.Pledged:
 		room = pl.unusedPledge(j.Workspace)
 		code, waitCode = Guaranteed, AwaitsReclaim
-	case !j.Lendable():
+	case !j.MayBorrow():
 		room = func(worker int) contract.Shape { return pl.unreclaimable(worker, j) }
 	}
 	now := pl.spread(s.Rack, j, func(worker int) contract.Shape { return minShape(room(worker), pl.workers[worker].free) })
@@ -73,7 +73,7 @@
 		return false
 	}
 	pl.reserveDevices(j, soon)
-	pl.outcome.SetAsides = append(pl.outcome.SetAsides, s)
+	pl.outcome.RackReservations = append(pl.outcome.RackReservations, s)
 	pl.recordWait(index, &Reason{Code: waitCode, Rack: name, Detail: "work that can be stopped is leaving it"})
 	return true
 }
@@ -84,18 +84,18 @@
 	for _, i := range indexes {
 		waiting[pl.view.Waiting[i].Key] = true
 	}
-	for _, s := range pl.view.SetAsides {
+	for _, s := range pl.view.RackReservations {
 		if s.Preempting || !waiting[s.Job] || s.Rack >= len(pl.reservedFor) || pl.reservedFor[s.Rack] != "" {
 			continue
 		}
 		pl.reservedFor[s.Rack] = s.Job
-		pl.outcome.SetAsides = append(pl.outcome.SetAsides, s)
+		pl.outcome.RackReservations = append(pl.outcome.RackReservations, s)
 	}
 }
 
 // releaseRack ends the reservation of a rack for a job, unless gangs were preempted for it.
 func (pl *planner) releaseRack(job string) {
-	pl.outcome.SetAsides = slices.DeleteFunc(pl.outcome.SetAsides, func(s SetAside) bool {
+	pl.outcome.RackReservations = slices.DeleteFunc(pl.outcome.RackReservations, func(s RackReservation) bool {
 		if s.Job != job || s.Preempting {
 			return false
 		}
@@ -122,7 +122,7 @@
 		pl.stop(i, false, j.Key, &Reason{Code: VacatedFor, Rack: name, Who: j.Key})
 	}
 	pl.reserveDevices(j, p.members)
-	pl.outcome.SetAsides = append(pl.outcome.SetAsides, SetAside{Job: j.Key, Rack: p.rack, Since: pl.view.Now, Preempting: true})
+	pl.outcome.RackReservations = append(pl.outcome.RackReservations, RackReservation{Job: j.Key, Rack: p.rack, Since: pl.view.Now, Preempting: true})
 	return &Reason{Code: AwaitsRack, Rack: name, Detail: "work that can be stopped is leaving it"}
 }
 
@@ -139,7 +139,7 @@
 // preemptible reports whether a running gang may be preempted for a large gang without a guarantee.
 func (pl *planner) preemptible(i int) bool {
 	r := &pl.view.Running[i]
-	return pl.charges[i] == borrowed && r.Job.Lendable() && r.Job.Stops < maxPreemptions && !pl.large(&r.Job)
+	return pl.charges[i] == borrowed && r.Job.MayBorrow() && r.Job.Stops < maxPreemptions && !pl.large(&r.Job)
 }
 
 // preemptibleRoom returns the function that gives the capacity of a worker if all preemptible gangs were stopped: none
@@ -157,7 +157,7 @@
 				room = room.Add(pl.heldBy(i, worker))
 			}
 		}
-		if j.Lendable() {
+		if j.MayBorrow() {
 			return room
 		}
 		return minShape(pl.unreclaimable(worker, j), room)
@@ -179,7 +179,7 @@
 // the reason otherwise if no rack can be reserved.
 func (pl *planner) reserveRack(j *Job, otherwise *Reason) *Reason {
 	count := 0
-	for _, s := range pl.outcome.SetAsides {
+	for _, s := range pl.outcome.RackReservations {
 		if s.Job == j.Key {
 			return pl.reservedReason(s)
 		}
@@ -202,14 +202,14 @@
 	if best < 0 {
 		return otherwise
 	}
-	s := SetAside{Job: j.Key, Rack: best, Since: pl.view.Now}
+	s := RackReservation{Job: j.Key, Rack: best, Since: pl.view.Now}
 	pl.reservedFor[best] = j.Key
-	pl.outcome.SetAsides = append(pl.outcome.SetAsides, s)
+	pl.outcome.RackReservations = append(pl.outcome.RackReservations, s)
 	return pl.reservedReason(s)
 }
 
 // reservedReason returns the reason of a gang that waits for its reserved rack.
-func (pl *planner) reservedReason(s SetAside) *Reason {
+func (pl *planner) reservedReason(s RackReservation) *Reason {
 	waited := pl.view.Now.Sub(s.Since).Truncate(time.Second)
 	return &Reason{Code: AwaitsRack, Rack: pl.view.Racks[s.Rack].Name, Detail: fmt.Sprintf("set aside for %s", waited)}
 }
@@ -273,11 +273,11 @@
 // that can be preempted qualify, so that a wrong estimate delays the large gang little. It returns false if no rack
 // fits.
 func (pl *planner) backfill(j *Job) bool {
-	if !j.Lendable() || j.Stops >= maxPreemptions || pl.large(j) {
+	if !j.MayBorrow() || j.Stops >= maxPreemptions || pl.large(j) {
 		return false
 	}
 	length := pl.view.Estimates.Quantile(j, 0.9) - j.Done
-	for _, s := range pl.outcome.SetAsides {
+	for _, s := range pl.outcome.RackReservations {
 		if s.Preempting || s.Job == j.Key || length > pl.readySeconds(s) {
 			continue
 		}
@@ -290,7 +290,7 @@
 }
 
 // readySeconds returns the seconds after which a reserved rack should have room for its gang, computed once in a pass.
-func (pl *planner) readySeconds(s SetAside) float64 {
+func (pl *planner) readySeconds(s RackReservation) float64 {
 	if t, known := pl.secondsUntilReady[s.Job]; known {
 		return t
 	}
--- a/internal/decider/spread.go
+++ b/internal/decider/spread.go
@@ -78,7 +78,7 @@
 // roomFor returns the function that gives the capacity of a worker for a job beyond its guarantee: all free devices, or
 // only those that cannot be reclaimed if the job must not be stopped.
 func (pl *planner) roomFor(j *Job) func(worker int) contract.Shape {
-	if j.Lendable() {
+	if j.MayBorrow() {
 		return pl.freeRoom
 	}
 	return func(worker int) contract.Shape { return pl.unreclaimableFree(worker, j) }
--- a/internal/decider/view.go
+++ b/internal/decider/view.go
@@ -33,8 +33,8 @@
 // Accelerators returns the number of accelerators that the whole gang needs.
 func (j *Job) Accelerators() int { return j.Gang * j.Shape.Accelerators }
 
-// Lendable reports whether the job may run on borrowed devices: it may be run again, or it continues from a checkpoint.
-func (j *Job) Lendable() bool { return !j.AtMostOnce || j.Checkpoints }
+// MayBorrow reports whether the job may run on borrowed devices: it may be run again, or it continues from a checkpoint.
+func (j *Job) MayBorrow() bool { return !j.AtMostOnce || j.Checkpoints }
 
 // Member places a number of a gang's members on one worker.
 type Member struct {
@@ -65,8 +65,8 @@
 	Workers []int // Indexes into View.Workers.
 }
 
-// SetAside reserves a rack for a waiting gang.
-type SetAside struct {
+// RackReservation reserves a rack for a waiting gang.
+type RackReservation struct {
 	Job        string
 	Rack       int
 	Since      time.Time
@@ -76,17 +76,17 @@
 
 // View is the input of a pass. The decider does not modify it.
 type View struct {
-	Now        time.Time
-	Site       *contract.Site
-	Racks      []Rack
-	Workers    []Worker
-	Layout     pledge.Layout
-	Running    []Running
-	Waiting    []Job
-	Claims     []string // Workspaces that reclaim their whole guarantee.
-	SetAsides  []SetAside
-	Estimates  *Estimates
-	UsedBefore map[string]int // Accelerators in use in other halls, by workspace.
+	Now              time.Time
+	Site             *contract.Site
+	Racks            []Rack
+	Workers          []Worker
+	Layout           pledge.Layout
+	Running          []Running
+	Waiting          []Job
+	Reclaiming       []string // Workspaces that reclaim their whole guarantee.
+	RackReservations []RackReservation
+	Estimates        *Estimates
+	UsedBefore       map[string]int // Accelerators in use in other halls, by workspace.
 }
 
 // Kind tells what a decision does.
@@ -94,9 +94,9 @@
 
 // Kinds of decisions.
 const (
-	Start  Kind = "start"   // Start the gang on the workers of Members.
-	Stop   Kind = "stop"    // Preempt a running gang; it waits again.
-	GiveUp Kind = "give_up" // Fail the gang: it can never run.
+	Start Kind = "start"   // Start the gang on the workers of Members.
+	Stop  Kind = "stop"    // Preempt a running gang; it waits again.
+	Fail  Kind = "give_up" // Fail the gang: it can never run.
 )
 
 // Decision tells what to do with one job.
@@ -117,9 +117,9 @@
 
 // Outcome is the result of one pass.
 type Outcome struct {
-	Decisions []Decision
-	Waits     []Wait
-	SetAsides []SetAside // Input of the next pass.
+	Decisions        []Decision
+	Waits            []Wait
+	RackReservations []RackReservation // Input of the next pass.
 }
 
 // Policy decides one pass. Implementations keep no state between passes.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -60,7 +60,7 @@
 }
 
 // Run runs the demo and returns the judgement of its outcome.
-func Run(ctx context.Context, o Options) (*judge.Judgement, error) {
+func Run(ctx context.Context, o Options) (*judge.Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d := &demo{Options: o, keys: map[string]string{}}
@@ -210,8 +210,8 @@
 	})
 }
 
-// Good reports whether no promise was broken, all requests were settled and at least one block of the guarantee was
+// Passed reports whether no promise was broken, all requests were settled and at least one block of the guarantee was
 // reclaimed in time.
-func Good(j *judge.Judgement) bool {
-	return j.Broken() == 0 && j.Settled == j.Requests && j.Requests > 0 && j.GuaranteesReclaimed > 0
+func Passed(j *judge.Report) bool {
+	return j.Violations() == 0 && j.Settled == j.Requests && j.Requests > 0 && j.GuaranteesReclaimed > 0
 }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -175,8 +175,8 @@
 			if _, on := k.Load(); !on {
 				continue
 			}
-			if e := k.Book.Job(job); e != nil {
-				d.printf("  in %s of %s: %s, attempt %d in %s; %s", k.Hall, r.Settings.Name, e.State, e.Number, e.Rack, k.Why(job))
+			if e := k.Rows.Job(job); e != nil {
+				d.printf("  in %s of %s: %s, attempt %d in %s; %s", k.Hall, r.Settings.Name, e.State, e.Number, e.Rack, k.WaitReason(job))
 			}
 		}
 	}
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -31,7 +31,7 @@
 
 	group      sync.WaitGroup
 	mu         sync.Mutex
-	exchanges  []*judge.Told
+	exchanges  []*judge.RequestHistory
 	lastErrors map[request.Identity]error
 
 	reclaimed, notReclaimed int
@@ -106,7 +106,7 @@
 
 // settle sends a request, asks until its outcome is final and records the reply.
 func (l *load) settle(ctx context.Context, client *caller.Client, id request.Identity, s request.Submission) {
-	t := &judge.Told{Identity: id, Submission: s}
+	t := &judge.RequestHistory{Identity: id, Submission: s}
 	l.mu.Lock()
 	l.exchanges = append(l.exchanges, t)
 	l.mu.Unlock()
@@ -197,15 +197,15 @@
 }
 
 // judge compares the replies that the callers received with the records of the stand-ins.
-func (l *load) judge() *judge.Judgement {
+func (l *load) judge() *judge.Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	j := judge.Judge(l.exchanges, l.demo.platform.Records())
-	j.CutInFlight = l.demo.balancer.Cut()
+	j := judge.Evaluate(l.exchanges, l.demo.platform.Records())
+	j.InterruptedCalls = l.demo.balancer.Cut()
 	j.GuaranteesReclaimed, j.GuaranteesRefused = l.reclaimed, l.notReclaimed
 	for _, t := range l.exchanges {
 		if !t.Settled() {
-			l.demo.printf("open: %s gang %d once %t: %s %v", t.Identity, t.Submission.Gang, t.Submission.AtMostOnce, t.Last().Reason, l.lastErrors[t.Identity])
+			l.demo.printf("open: %s gang %d once %t: %s %v", t.Identity, t.Submission.Gang, t.Submission.AtMostOnce, t.LastReply().Reason, l.lastErrors[t.Identity])
 			l.demo.fleet.printJob(l.demo, t.Identity.String())
 		}
 	}
--- a/internal/emulator/judge.go
+++ b/internal/emulator/checker.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // checker records what the workers were told to do and finds violations of the scheduler's promises.
 type checker struct {
-	running map[job.Task]life.ID // The worker incarnation that runs a task now.
+	running map[job.Task]incarnation.ID // The worker incarnation that runs a task now.
 	endRecords
 	waitChecks
 	emptiedAt      map[string]time.Time // By hall: the time at which it was emptied.
@@ -28,28 +28,28 @@
 
 // Verdict lists violations of the scheduler's promises and counts starts, stops and ends.
 type Verdict struct {
-	Twice []string // Two runs of a task at a time, or a run after the task was done.
-	// Unheard lists duplicate starts that a worker carried out late, before its incarnation had taken any
+	Duplicates []string // Two runs of a task at a time, or a run after the task was done.
+	// LateDuplicates lists duplicate starts that a worker carried out late, before its incarnation had taken any
 	// other command. No box could know of that incarnation, nor make it refuse them.
-	Unheard  []string
-	Unasked  []string // Starts of tasks that nobody submitted, or with another payload.
-	TooEarly []string // Starts before an earlier step was done.
-	Emptied  []string // Starts in a hall more than EmptyWithin after it was emptied.
+	LateDuplicates []string
+	UnknownStarts  []string // Starts of tasks that nobody submitted, or with another payload.
+	TooEarly       []string // Starts before an earlier step was done.
+	InEmptiedHall  []string // Starts in a hall more than EmptyWithin after it was emptied.
 	// Starts of a task after too many workers had crashed under it, or after all its attempts had failed.
-	Budget []string
-	Waits  []string       // Jobs that had nothing running for too long although there was free capacity.
-	InHall map[string]int // Number of starts by hall.
-	Starts int
-	Fenced int // Commands refused because they came from a replaced box.
-	Stops  int // Stop commands that workers accepted.
-	Ends   map[job.Outcome]int
+	OverBudget   []string
+	LongWaits    []string       // Jobs that had nothing running for too long although there was free capacity.
+	StartsByHall map[string]int // Number of starts by hall.
+	Starts       int
+	Fenced       int // Commands refused because they came from a replaced box.
+	Stops        int // Stop commands that workers accepted.
+	Ends         map[job.Outcome]int
 }
 
 func newChecker() checker {
 	return checker{
-		running: map[job.Task]life.ID{}, endRecords: newEndRecords(), emptiedAt: map[string]time.Time{},
+		running: map[job.Task]incarnation.ID{}, endRecords: newEndRecords(), emptiedAt: map[string]time.Time{},
 		crashedWorkers: map[job.Task]int{}, lostRuns: map[job.Task]map[int]bool{}, startsAfterCrashes: map[job.Task]int{},
-		verdict: Verdict{Ends: map[job.Outcome]int{}, InHall: map[string]int{}},
+		verdict: Verdict{Ends: map[job.Outcome]int{}, StartsByHall: map[string]int{}},
 	}
 }
 
@@ -60,23 +60,23 @@
 	return f.checker.verdict
 }
 
-// SetGivenUpAfter sets the number of worker crashes under one task, whatever caused them, after which its job may
+// SetCrashLoopLimit sets the number of worker crashes under one task, whatever caused them, after which its job may
 // fail as crash-looping; 0 for never.
-func (f *Fleet) SetGivenUpAfter(n int) {
+func (f *Fleet) SetCrashLoopLimit(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checker.crashLoopLimit = n
 }
 
-// MayBeGivenUp reports whether enough workers have crashed under a task of a job that the job may fail as
+// CrashLoopLimitReached reports whether enough workers have crashed under a task of a job that the job may fail as
 // crash-looping.
-func (f *Fleet) MayBeGivenUp(id job.ID) bool {
+func (f *Fleet) CrashLoopLimitReached(id job.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashLoopLimitReached(id)
 }
 
-// crashLoopLimitReached is MayBeGivenUp for a caller that holds the lock.
+// crashLoopLimitReached is CrashLoopLimitReached for a caller that holds the lock.
 func (f *Fleet) crashLoopLimitReached(id job.ID) bool {
 	for t, runs := range f.checker.lostRuns {
 		if t.Job == id && f.checker.crashLoopLimit > 0 && len(runs) >= f.checker.crashLoopLimit {
@@ -121,7 +121,7 @@
 	a := &taskRun{task: o.Task, number: o.Run, startedAt: time.Now()}
 	r := f.jobs[o.Task.Job]
 	if r == nil || o.Payload != r.Payload {
-		f.checker.verdict.Unasked = append(f.checker.verdict.Unasked, o.Task.String())
+		f.checker.verdict.UnknownStarts = append(f.checker.verdict.UnknownStarts, o.Task.String())
 		return a
 	}
 	step := &r.Steps[o.Task.Step]
@@ -162,10 +162,10 @@
 	c.Starts++
 	if duplicates := f.findDuplicates(w, a); len(duplicates) > 0 {
 		if w.runsDelayedCommand && !w.tookCommand {
-			c.Unheard = append(c.Unheard, duplicates...)
+			c.LateDuplicates = append(c.LateDuplicates, duplicates...)
 			return
 		}
-		c.Twice = append(c.Twice, duplicates...)
+		c.Duplicates = append(c.Duplicates, duplicates...)
 	}
 	f.checkOrder(a)
 	f.checkHall(w, a)
@@ -224,14 +224,14 @@
 // checkHall finds starts in emptied halls. Commands that the worker itself carried out late don't count.
 func (f *Fleet) checkHall(w *worker, a *taskRun) {
 	c, hall := &f.checker.verdict, w.record.Hall
-	c.InHall[hall]++
+	c.StartsByHall[hall]++
 	if since, ok := f.checker.emptiedAt[hall]; ok && !w.runsDelayedCommand && time.Since(since) > f.EmptyWithin {
-		c.Emptied = append(c.Emptied, fmt.Sprintf("%s on %s, %s after %s was emptied", a.task, w.record.ID, time.Since(since), hall))
+		c.InEmptiedHall = append(c.InEmptiedHall, fmt.Sprintf("%s on %s, %s after %s was emptied", a.task, w.record.ID, time.Since(since), hall))
 	}
 }
 
-// Empty records that the operator has emptied a hall, or returned it to service.
-func (f *Fleet) Empty(hall string, emptied bool) {
+// SetEmptied records that the operator has emptied a hall, or returned it to service.
+func (f *Fleet) SetEmptied(hall string, emptied bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checker.disturbedAt = time.Now()
--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -7,23 +7,23 @@
 	"time"
 
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/interval"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // Crash says how a worker crashes and restarts. With the zero value the process ends, its record is removed at once,
 // and it restarts at once at the same address.
 type Crash struct {
 	// The worker stops answering; otherwise its connections are closed and its address refuses new ones.
-	Dark      bool
-	Back      time.Duration // Time from the crash to the restart.
-	Gone      bool          // The worker never restarts.
-	Elsewhere bool          // The restarted worker has another address.
-	Again     bool          // The restarted worker keeps its name.
+	Silent       bool
+	RestartDelay time.Duration // Time from the crash to the restart.
+	Permanent    bool          // The worker never restarts.
+	NewAddress   bool          // The restarted worker has another address.
+	SameName     bool          // The restarted worker keeps its name.
 	// Time from the restart to the first record of the new incarnation; used only if it keeps the name.
-	Unlisted time.Duration
-	Recorded time.Duration // Time from the crash to the removal of the old incarnation's record.
+	FirstRecordAfter      time.Duration
+	OldRecordRemovedAfter time.Duration // Time from the crash to the removal of the old incarnation's record.
 }
 
 // SetCrash sets how workers crash from now on.
@@ -75,8 +75,8 @@
 	w.crash()
 }
 
-// WhereRuns returns the worker that runs a task now, and its hall; both are empty if the task doesn't run.
-func (f *Fleet) WhereRuns(t job.Task) (id, hall string) {
+// TaskLocation returns the worker that runs a task now, and its hall; both are empty if the task doesn't run.
+func (f *Fleet) TaskLocation(t job.Task) (id, hall string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	incarnation, running := f.checker.running[t]
@@ -98,7 +98,7 @@
 	for _, a := range w.sortedRuns() {
 		delete(w.runs, a.task)
 		w.fleet.recordLostRun(a.task, a.number)
-		w.fleet.recordEnd(w, a, job.Lapsed)
+		w.fleet.recordEnd(w, a, job.Expired)
 	}
 	for i := range w.pendingEnds {
 		if e := &w.pendingEnds[i]; e.Number > w.lastReportedEnd { // No box has received this end.
@@ -126,18 +126,18 @@
 	f.mu.Lock()
 	c := f.crash
 	f.mu.Unlock()
-	w.terminate(!c.Dark)
+	w.terminate(!c.Silent)
 	go func() {
-		if interval.Sleep(f.ctx, c.Recorded) {
+		if interval.Sleep(f.ctx, c.OldRecordRemovedAfter) {
 			f.forgetIncarnation(w.incarnation)
 		}
 	}()
-	if c.Gone {
+	if c.Permanent {
 		return
 	}
 	go func() {
-		delay := c.Back
-		if c.Again {
+		delay := c.RestartDelay
+		if c.SameName {
 			delay = max(delay, minRestartTime)
 		}
 		if interval.Sleep(f.ctx, delay) {
@@ -152,18 +152,18 @@
 	f.restarts++
 	next := w.record
 	name := fmt.Sprintf("%s/%d", w.record.Address, f.restarts)
-	if !c.Again {
+	if !c.SameName {
 		next.ID = name
 	}
-	if c.Elsewhere {
+	if c.NewAddress {
 		next.Address = name
 	}
 	f.mu.Unlock()
-	if c.Again {
-		f.restart(w, next, c.Unlisted)
+	if c.SameName {
+		f.restart(w, next, c.FirstRecordAfter)
 		return
 	}
-	if !c.Elsewhere {
+	if !c.NewAddress {
 		w.mu.Lock()
 		w.replaced = true
 		// The new incarnation answers commands for the old one with an error, which shows that its runs have ended.
@@ -189,7 +189,7 @@
 	w.mu.Lock()
 	f.recordLease(w, time.Time{}) // The next incarnation shows that this one has ended.
 	w.mu.Unlock()
-	next.Draining, next.Leaves = false, 0
+	next.Draining, next.TimeLeft = false, 0
 	f.recordDisturbance()
 	f.startIncarnation(next, firstRecordAfter)
 }
@@ -219,9 +219,9 @@
 	return nil
 }
 
-// RecordFormer replaces a worker's record by the last record of its previous incarnation, until the worker
+// RestorePreviousRecord replaces a worker's record by the last record of its previous incarnation, until the worker
 // writes its own again.
-func (f *Fleet) RecordFormer(id string) {
+func (f *Fleet) RestorePreviousRecord(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checker.disturbedAt = time.Now()
@@ -231,7 +231,7 @@
 }
 
 // forgetIncarnation removes a worker's record if it still belongs to this incarnation.
-func (f *Fleet) forgetIncarnation(incarnation life.ID) {
+func (f *Fleet) forgetIncarnation(incarnation incarnation.ID) {
 	f.mu.Lock()
 	w, recorded := f.workers[incarnation.Worker], f.records[incarnation.Worker].worker
 	f.mu.Unlock()
@@ -272,6 +272,6 @@
 	}
 	f.checker.startsAfterCrashes[a.task]++
 	if n := f.checker.startsAfterCrashes[a.task]; n == violatingStarts {
-		f.checker.verdict.Budget = append(f.checker.verdict.Budget, fmt.Sprintf("%s on %s, run %d: %d starts after %d workers had crashed", a.task, w.incarnation, a.number, n, maxCrashes))
+		f.checker.verdict.OverBudget = append(f.checker.verdict.OverBudget, fmt.Sprintf("%s on %s, run %d: %d starts after %d workers had crashed", a.task, w.incarnation, a.number, n, maxCrashes))
 	}
 }
--- a/internal/emulator/ends.go
+++ b/internal/emulator/ends.go
@@ -4,17 +4,17 @@
 	"fmt"
 	"time"
 
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // endRecords records the ends of runs that workers have listed, and whether each counts as delivered to the
 // scheduler. Make it with newEndRecords.
 type endRecords struct {
-	leases        map[life.ID]time.Time // End of the lease by worker incarnation; zero for one that crashed.
+	leases        map[incarnation.ID]time.Time // End of the lease by worker incarnation; zero for one that crashed.
 	done          map[job.Task][]*listedEnd
 	failed        map[job.Task][]*listedEnd
-	byIncarnation map[life.ID][]*listedEnd
+	byIncarnation map[incarnation.ID][]*listedEnd
 	attempts      map[job.ID]int // Number of failed runs that end a job.
 	// impairedUntil is the time until which boxes or the store have a fault; storeFaulty says that the store has one
 	// now.
@@ -24,14 +24,14 @@
 
 func newEndRecords() endRecords {
 	return endRecords{
-		leases: map[life.ID]time.Time{}, done: map[job.Task][]*listedEnd{}, failed: map[job.Task][]*listedEnd{},
-		byIncarnation: map[life.ID][]*listedEnd{}, attempts: map[job.ID]int{},
+		leases: map[incarnation.ID]time.Time{}, done: map[job.Task][]*listedEnd{}, failed: map[job.Task][]*listedEnd{},
+		byIncarnation: map[incarnation.ID][]*listedEnd{}, attempts: map[job.ID]int{},
 	}
 }
 
 // listedEnd is the end of a run as a worker has listed it.
 type listedEnd struct {
-	incarnation life.ID
+	incarnation incarnation.ID
 	number      int64
 	run         int
 	at          time.Time
@@ -64,7 +64,7 @@
 
 // expire records that a worker's lease expired. Ends not delivered by then never count as delivered (the users'
 // rules), even if the lease is extended later: a box that was suspended for longer than a lease can't know of them.
-func (e *endRecords) expire(incarnation life.ID) {
+func (e *endRecords) expire(incarnation incarnation.ID) {
 	for _, x := range e.byIncarnation[incarnation] {
 		x.expired = x.expired || !x.delivered
 	}
@@ -101,7 +101,7 @@
 		f.checker.expire(w.incarnation)
 	}
 	f.checker.leases[w.incarnation] = until
-	f.emit(Event{Kind: Leased, Until: until})
+	f.emit(Event{Kind: LeaseChanged, Until: until})
 }
 
 // recordListedEnd records an end that decides about the task: a success or a failure. The success of one gang member
@@ -142,8 +142,8 @@
 	}
 }
 
-// Impair records that boxes or their links have a fault until a time.
-func (f *Fleet) Impair(until time.Time) {
+// ImpairUntil records that boxes or their links have a fault until a time.
+func (f *Fleet) ImpairUntil(until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if until.After(f.checker.impairedUntil) {
@@ -151,29 +151,29 @@
 	}
 }
 
-// Ail records that the store has a fault, or that the fault has ended.
-func (f *Fleet) Ail(faulty bool) {
-	f.Impair(time.Now())
+// SetStoreFaulty records that the store has a fault, or that the fault has ended.
+func (f *Fleet) SetStoreFaulty(faulty bool) {
+	f.ImpairUntil(time.Now())
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checker.storeFaulty = faulty
 }
 
-// Allow sets the number of failed runs of a task after which its job ends.
-func (f *Fleet) Allow(id job.ID, attempts int) {
+// SetAttempts sets the number of failed runs of a task after which its job ends.
+func (f *Fleet) SetAttempts(id job.ID, attempts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checker.attempts[id] = attempts
 }
 
-// UsedUp reports whether a task of a job, or a gang as a whole, has failed often enough to end the job.
-func (f *Fleet) UsedUp(id job.ID) bool {
+// AttemptsExhausted reports whether a task of a job, or a gang as a whole, has failed often enough to end the job.
+func (f *Fleet) AttemptsExhausted(id job.ID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.attemptsExhausted(id)
 }
 
-// attemptsExhausted is UsedUp for a caller that holds the lock.
+// attemptsExhausted is AttemptsExhausted for a caller that holds the lock.
 func (f *Fleet) attemptsExhausted(id job.ID) bool {
 	runs := map[job.Task]map[int]bool{}
 	for t, list := range f.checker.failed {
@@ -203,6 +203,6 @@
 		return
 	}
 	if n := f.checker.countDeliverable(f.checker.failed[a.task]); n >= allowed {
-		f.checker.verdict.Budget = append(f.checker.verdict.Budget, fmt.Sprintf("%s on %s, run %d: started after %d of %d attempts had failed", a.task, w.record.ID, a.number, n, allowed))
+		f.checker.verdict.OverBudget = append(f.checker.verdict.OverBudget, fmt.Sprintf("%s on %s, run %d: started after %d of %d attempts had failed", a.task, w.record.ID, a.number, n, allowed))
 	}
 }
--- a/internal/emulator/event.go
+++ b/internal/emulator/event.go
@@ -14,7 +14,7 @@
 	Began        EventKind = iota // A run has begun.
 	Ended                         // A run has ended; if its lease expired first, it ended at that time.
 	Acknowledged                  // A worker's ends up to a number were acknowledged.
-	Leased                        // A worker's lease has changed.
+	LeaseChanged                  // A worker's lease has changed.
 )
 
 // Event describes a change of a run, or of a worker and all its runs.
@@ -29,8 +29,8 @@
 	Gang    int         // Size of the run's gang; 0 for a single task.
 }
 
-// Tell records that a gang member on a worker of another fleet has begun or ended.
-func (f *Fleet) Tell(e Event) {
+// ApplyRemoteEvent records that a gang member on a worker of another fleet has begun or ended.
+func (f *Fleet) ApplyRemoteEvent(e Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	g := f.gangOf(&taskRun{task: e.Task, number: e.Run, gang: e.Gang})
@@ -56,7 +56,7 @@
 // checked it.
 func (w *worker) endedAt(outcome job.Outcome) time.Time {
 	now := time.Now()
-	if outcome == job.Lapsed && now.After(w.lease) {
+	if outcome == job.Expired && now.After(w.lease) {
 		return w.lease
 	}
 	return now
@@ -69,6 +69,6 @@
 		return
 	}
 	for _, a := range w.sortedRuns() {
-		w.end(a, job.Lapsed)
+		w.end(a, job.Expired)
 	}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/interval"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // Fleet emulates the workers and their records, and checks the commands that the workers get. Make it with NewFleet.
@@ -38,7 +38,7 @@
 	crashAfter map[job.Task]time.Duration
 	crash      Crash
 	restarts   int // Restarts after a crash; makes names unique.
-	exits      map[job.ID]LastMoments
+	exits      map[job.ID]ExitMode
 	// By departing worker, announced or not: the time until which it surely stays.
 	departsAt       map[string]time.Time
 	unannounced     map[string]bool         // Workers that leave without an announcement.
@@ -83,7 +83,7 @@
 	return &Fleet{
 		MaxLease: maxLease, GangWait: gangWait, ctx: ctx, workers: map[string]*worker{}, records: map[string]record{},
 		changed: make(chan struct{}), gangs: map[gangRun]*gang{}, jobs: map[job.ID]*job.Request{},
-		work: map[job.ID]time.Duration{}, checker: newChecker(), crashAfter: map[job.Task]time.Duration{}, exits: map[job.ID]LastMoments{}, departsAt: map[string]time.Time{}, unannounced: map[string]bool{}, previousRecords: map[string]fleet.Worker{},
+		work: map[job.ID]time.Duration{}, checker: newChecker(), crashAfter: map[job.Task]time.Duration{}, exits: map[job.ID]ExitMode{}, departsAt: map[string]time.Time{}, unannounced: map[string]bool{}, previousRecords: map[string]fleet.Worker{},
 	}
 }
 
@@ -101,7 +101,7 @@
 		fleet: f, record: record, born: time.Now(), drift: f.drift, runs: map[job.Task]*taskRun{}, rejected: map[job.Task]int{},
 		changed: make(chan struct{}), runBegan: make(chan struct{}, 1),
 	}
-	w.incarnation = life.ID{Worker: record.ID, Born: w.born.UnixMilli()}
+	w.incarnation = incarnation.ID{Worker: record.ID, Born: w.born.UnixMilli()}
 	if before := f.workers[record.ID]; before != nil {
 		w.incarnation.Born = max(w.incarnation.Born, before.incarnation.Born+1)
 		w.disturbedAt = w.born
@@ -120,8 +120,8 @@
 	return w.record
 }
 
-// SetUntold sets whether workers that start from now on leave out their start time.
-func (f *Fleet) SetUntold(hide bool) {
+// SetHideStartTime sets whether workers that start from now on leave out their start time.
+func (f *Fleet) SetHideStartTime(hide bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hideStartTime = hide
@@ -141,8 +141,8 @@
 	f.drift = share
 }
 
-// Expect sets the request of a job and how long its tasks really run.
-func (f *Fleet) Expect(r *job.Request, work time.Duration) {
+// SetWork sets the request of a job and how long its tasks really run.
+func (f *Fleet) SetWork(r *job.Request, work time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[r.ID], f.work[r.ID] = r, work
@@ -201,7 +201,7 @@
 	}
 	record := f.records[id].worker
 	if due, departing := f.departsAt[id]; departing && record.Draining {
-		record.Leaves = max(time.Until(due), 0)
+		record.TimeLeft = max(time.Until(due), 0)
 	}
 	f.put(record, false)
 }
@@ -245,15 +245,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.records[id].worker
-	w.Draining, w.Leaves = true, timeLeft
+	w.Draining, w.TimeLeft = true, timeLeft
 	f.checker.disturbedAt = time.Now()
 	f.departsAt[id] = time.Now().Add(timeLeft)
 	f.put(w, false)
 }
 
-// LeaveUnsaid removes the record of a worker that leaves without an announcement and stays for a time. It
+// LeaveUnannounced removes the record of a worker that leaves without an announcement and stays for a time. It
 // writes no record after that.
-func (f *Fleet) LeaveUnsaid(id string, stays time.Duration) {
+func (f *Fleet) LeaveUnannounced(id string, stays time.Duration) {
 	f.Forget(id)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -268,43 +268,45 @@
 	return f.records[id].worker.Draining
 }
 
-// Fail makes all runs on a worker fail, earlier ones included, or ends this fault.
-func (f *Fleet) Fail(id string, fail bool) error {
+// FailRuns makes all runs on a worker fail, earlier ones included, or ends this fault.
+func (f *Fleet) FailRuns(id string, fail bool) error {
 	return f.update(id, func(w *worker) { w.failsRuns = fail })
 }
 
-// Spoil makes runs that start on a worker from now on fail, or ends this fault.
-func (f *Fleet) Spoil(id string, spoil bool) error {
+// FailNewRuns makes runs that start on a worker from now on fail, or ends this fault.
+func (f *Fleet) FailNewRuns(id string, spoil bool) error {
 	return f.update(id, func(w *worker) { w.failsNewRuns = spoil })
 }
 
-// Stick stops the progress of the work on a worker, or lets it continue.
-func (f *Fleet) Stick(id string, stuck bool) error {
+// Stall stops the progress of the work on a worker, or lets it continue.
+func (f *Fleet) Stall(id string, stuck bool) error {
 	return f.update(id, func(w *worker) { w.stalled = stuck })
 }
 
 // Slow makes all work on a worker take n times as long.
 func (f *Fleet) Slow(id string, n int) error { return f.update(id, func(w *worker) { w.slowdown = n }) }
 
-// Late makes the next n commands to a worker get no answer and take effect after a default delay.
-func (f *Fleet) Late(id string, n int) error { return f.LateBy(id, n, defaultCommandDelay) }
+// DelayCommands makes the next n commands to a worker get no answer and take effect after a default delay.
+func (f *Fleet) DelayCommands(id string, n int) error {
+	return f.DelayCommandsBy(id, n, defaultCommandDelay)
+}
 
-// LateBy makes the next n commands to a worker get no answer and take effect after a delay.
-func (f *Fleet) LateBy(id string, n int, by time.Duration) error {
+// DelayCommandsBy makes the next n commands to a worker get no answer and take effect after a delay.
+func (f *Fleet) DelayCommandsBy(id string, n int, by time.Duration) error {
 	return f.update(id, func(w *worker) { w.delayedCommands, w.commandDelay = n, by })
 }
 
-// LateLooks makes the next n polls of a worker get no answer and take effect after a delay.
-func (f *Fleet) LateLooks(id string, n int, by time.Duration) error {
+// DelayPolls makes the next n polls of a worker get no answer and take effect after a delay.
+func (f *Fleet) DelayPolls(id string, n int, by time.Duration) error {
 	return f.update(id, func(w *worker) { w.delayedPolls, w.pollDelay = n, by })
 }
 
-// Mute makes the next n commands and polls of a worker get no answer; the commands take effect.
-func (f *Fleet) Mute(id string, n int) error {
+// DropAnswers makes the next n commands and polls of a worker get no answer; the commands take effect.
+func (f *Fleet) DropAnswers(id string, n int) error {
 	return f.update(id, func(w *worker) { w.droppedAnswers = n })
 }
 
-// Refuse makes a worker refuse starts, or accept them again.
-func (f *Fleet) Refuse(id string, refuse bool) error {
+// RefuseStarts makes a worker refuse starts, or accept them again.
+func (f *Fleet) RefuseStarts(id string, refuse bool) error {
 	return f.update(id, func(w *worker) { w.refusesStarts = refuse })
 }
--- a/internal/emulator/signs.go
+++ b/internal/emulator/reachability.go
@@ -50,9 +50,9 @@
 	})
 }
 
-// Shut closes the worker's connections to one box and refuses new ones, or accepts them again if shut is
+// CloseConnections closes the worker's connections to one box and refuses new ones, or accepts them again if shut is
 // false. An empty box name stands for all boxes. The worker continues to run.
-func (f *Fleet) Shut(id, box string, shut bool) error {
+func (f *Fleet) CloseConnections(id, box string, shut bool) error {
 	return f.update(id, func(w *worker) {
 		if w.closedTo == nil {
 			w.closedTo = map[string]bool{}
@@ -65,13 +65,13 @@
 	})
 }
 
-// HoldBack delays the next answer to a poll, so that newer answers may overtake it.
-func (f *Fleet) HoldBack(id string, d time.Duration) error {
+// DelayNextPollAnswer delays the next answer to a poll, so that newer answers may overtake it.
+func (f *Fleet) DelayNextPollAnswer(id string, d time.Duration) error {
 	return f.update(id, func(w *worker) { w.nextPollDelay = d })
 }
 
-// AnswerLate delays all answers of a worker, as when it or its machine is busy.
-func (f *Fleet) AnswerLate(id string, d time.Duration) error {
+// DelayAnswers delays all answers of a worker, as when it or its machine is busy.
+func (f *Fleet) DelayAnswers(id string, d time.Duration) error {
 	return f.update(id, func(w *worker) { w.answerDelay = d })
 }
 
@@ -98,11 +98,11 @@
 func (w *worker) errorFor(box string) error {
 	switch {
 	case w.replaced:
-		return fleet.OtherLife
+		return fleet.OtherIncarnation
 	case w.cut || w.cutFrom[box]:
 		return fleet.ErrNoAnswer
 	case w.closedTo[everyBox] || w.closedTo[box] || w.processEnded:
-		return fleet.ErrNotListening
+		return fleet.ErrConnectionRefused
 	}
 	return nil
 }
@@ -126,14 +126,14 @@
 	case <-ctx.Done():
 		return fleet.ErrNoAnswer
 	case <-changed:
-		return fleet.ErrHungUp
+		return fleet.ErrConnectionClosed
 	}
 }
 
-// LastMoments says how a worker's process ends just after a run there.
-type LastMoments struct {
-	Lost bool // Answers are lost between the end of the run and that of the process.
-	Due  bool // Applies only once the time has passed for which the worker stays.
+// ExitMode says how a worker's process ends just after a run there.
+type ExitMode struct {
+	LosesAnswers bool // Answers are lost between the end of the run and that of the process.
+	AtDeparture  bool // Applies only once the time has passed for which the worker stays.
 	// The process crashes in the way that SetCrash has set; otherwise the worker leaves as announced.
 	Crash bool
 }
@@ -146,8 +146,8 @@
 	recordRemovalDelay = 20 * time.Millisecond
 )
 
-// EndWith ends a worker's process a few ms after it has listed the next successful run of a job.
-func (f *Fleet) EndWith(id job.ID, mode LastMoments) {
+// ExitAfterRun ends a worker's process a few ms after it has listed the next successful run of a job.
+func (f *Fleet) ExitAfterRun(id job.ID, mode ExitMode) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.exits[id] = mode
@@ -159,9 +159,9 @@
 	return departing && !time.Now().Before(due)
 }
 
-// SetStops sets how long a stop takes. Until then a run that is being stopped makes no progress but uses its
+// SetStopDuration sets how long a stop takes. Until then a run that is being stopped makes no progress but uses its
 // resources.
-func (f *Fleet) SetStops(d time.Duration) {
+func (f *Fleet) SetStopDuration(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopDuration = d
@@ -180,7 +180,7 @@
 	f := w.fleet
 	f.mu.Lock()
 	mode, ok := f.exits[id]
-	ok = ok && (!mode.Due || f.isDepartureDue(w.record.ID))
+	ok = ok && (!mode.AtDeparture || f.isDepartureDue(w.record.ID))
 	if ok {
 		delete(f.exits, id)
 	}
@@ -188,12 +188,12 @@
 	if !ok {
 		return
 	}
-	w.exiting, w.leaseKept = mode.Lost, true
+	w.exiting, w.leaseKept = mode.LosesAnswers, true
 	time.AfterFunc(exitDelay, func() { w.endProcess(mode) })
 }
 
 // endProcess ends a worker's process in the requested way.
-func (w *worker) endProcess(mode LastMoments) {
+func (w *worker) endProcess(mode ExitMode) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.dead {
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -71,15 +71,15 @@
 	})
 }
 
-// SetSlow sets how long a call takes.
-func (s *Store) SetSlow(d time.Duration) { s.update(func() { s.latency = d }) }
+// SetLatency sets how long a call takes.
+func (s *Store) SetLatency(d time.Duration) { s.update(func() { s.latency = d }) }
 
-// SetCommitsSlow sets the extra time that a transaction takes.
-func (s *Store) SetCommitsSlow(d time.Duration) { s.update(func() { s.commitDelay = d }) }
+// SetCommitDelay sets the extra time that a transaction takes.
+func (s *Store) SetCommitDelay(d time.Duration) { s.update(func() { s.commitDelay = d }) }
 
-// SetThin sets the time to transfer a row over a box's link to the store. Answers arrive in the order in which the
+// SetRowTime sets the time to transfer a row over a box's link to the store. Answers arrive in the order in which the
 // store sent them.
-func (s *Store) SetThin(perRow time.Duration) { s.update(func() { s.rowTime = perRow }) }
+func (s *Store) SetRowTime(perRow time.Duration) { s.update(func() { s.rowTime = perRow }) }
 
 // transfer waits until a box's link has transferred an answer with a number of rows.
 func (s *Store) transfer(ctx context.Context, box string, rows int) error {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// SetLose sets the share of writes that take effect but get no answer.
-func (s *Store) SetLose(share float64) { s.update(func() { s.lossRate = share }) }
+// SetLossRate sets the share of writes that take effect but get no answer.
+func (s *Store) SetLossRate(share float64) { s.update(func() { s.lossRate = share }) }
 
 // Cut makes the store answer no call of a box.
 func (s *Store) Cut(box string) { s.update(func() { s.cut[box] = silent }) }
@@ -106,8 +106,8 @@
 // Refuse makes the store refuse one box's calls.
 func (s *Store) Refuse(box string) { s.update(func() { s.cut[box] = busy }) }
 
-// SetPartOut makes the calls of one part fail without an answer and without effect; feeds continue.
-func (s *Store) SetPartOut(part string) {
+// FailPart makes the calls of one part fail without an answer and without effect; feeds continue.
+func (s *Store) FailPart(part string) {
 	s.update(func() {
 		if s.failedParts == nil {
 			s.failedParts = map[string]bool{}
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// SetDeaf makes feeds deliver no changes, as before a loss of history.
-func (s *Store) SetDeaf() { s.update(func() { s.feedsStalled = true }) }
+// StallFeeds makes feeds deliver no changes, as before a loss of history.
+func (s *Store) StallFeeds() { s.update(func() { s.feedsStalled = true }) }
 
 // Rows returns the number of rows of a table.
 func (s *Store) Rows(table string) int {
@@ -168,8 +168,8 @@
 // Compact drops the history, so that feeds must start again.
 func (s *Store) Compact() { s.update(func() { s.oldestVersion, s.history = s.version, nil }) }
 
-// Operate carries out a transaction of the operator, whose connection to the store never fails.
-func (s *Store) Operate(tx *store.Transaction) { s.update(func() { s.change(tx) }) }
+// CommitAsOperator carries out a transaction of the operator, whose connection to the store never fails.
+func (s *Store) CommitAsOperator(tx *store.Transaction) { s.update(func() { s.change(tx) }) }
 
 func (s *Store) update(f func()) {
 	s.mu.Lock()
--- a/internal/emulator/view.go
+++ b/internal/emulator/view.go
@@ -118,8 +118,8 @@
 	return v.send(ctx, target, func(w *worker) error { return w.stop(o) })
 }
 
-// Look implements fleet.Commands.
-func (v *View) Look(ctx context.Context, target *fleet.Worker, o *fleet.Look) (fleet.Report, error) {
+// Poll implements fleet.Commands.
+func (v *View) Poll(ctx context.Context, target *fleet.Worker, o *fleet.Poll) (fleet.Report, error) {
 	w, err := v.reach(ctx, target)
 	if err != nil {
 		return fleet.Report{}, err
@@ -146,7 +146,7 @@
 			report, err = w.report(o)
 		}
 		w.mu.Unlock()
-		if failure == fleet.ErrNotListening {
+		if failure == fleet.ErrConnectionRefused {
 			return report, errorAfterExit(first)
 		}
 		if err == fleet.ErrNoAnswer {
@@ -184,9 +184,9 @@
 // poll arrived.
 func errorAfterExit(before bool) error {
 	if before {
-		return fleet.ErrNotListening
+		return fleet.ErrConnectionRefused
 	}
-	return fleet.ErrHungUp
+	return fleet.ErrConnectionClosed
 }
 
 // dropsAnswer reports whether a poll gets no answer, and counts it.
--- a/internal/emulator/waits.go
+++ b/internal/emulator/waits.go
@@ -27,8 +27,8 @@
 	quietPeriod = 20 * time.Second
 )
 
-// Accept records that a job was accepted.
-func (f *Fleet) Accept(id job.ID) {
+// RecordAccepted records that a job was accepted.
+func (f *Fleet) RecordAccepted(id job.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.checker.accepted == nil {
@@ -37,8 +37,8 @@
 	f.checker.accepted[id] = true
 }
 
-// Withdraw records that a job may have been cancelled by its caller.
-func (f *Fleet) Withdraw(id job.ID) {
+// RecordWithdrawn records that a job may have been cancelled by its caller.
+func (f *Fleet) RecordWithdrawn(id job.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.checker.accepted, id)
@@ -77,7 +77,7 @@
 		f.checker.idleSince[id] = since
 		if !f.checker.reported[id] && time.Since(since) > maxWait {
 			f.checker.reported[id] = true
-			f.checker.verdict.Waits = append(f.checker.verdict.Waits, fmt.Sprintf("%s has nothing running for %s, though it could", id, time.Since(since)))
+			f.checker.verdict.LongWaits = append(f.checker.verdict.LongWaits, fmt.Sprintf("%s has nothing running for %s, though it could", id, time.Since(since)))
 		}
 	}
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/interval"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // worker is one incarnation of a worker.
@@ -18,7 +18,7 @@
 	mu            sync.Mutex
 	fleet         *Fleet
 	record        fleet.Worker
-	incarnation   life.ID // Unique even if the records of two incarnations are not.
+	incarnation   incarnation.ID // Unique even if the records of two incarnations are not.
 	born          time.Time
 	listedAt      time.Time // Before this time it writes no record.
 	drift         float64   // Share by which its clock runs slow.
@@ -172,7 +172,7 @@
 		w.end(a, job.Succeeded)
 	case state == gangIncomplete:
 		if time.Since(a.startedAt) > w.fleet.GangWait {
-			w.end(a, job.GangMissing)
+			w.end(a, job.GangTimedOut)
 		}
 	case w.stalled:
 	case w.failsRuns || a.failing:
@@ -239,7 +239,7 @@
 		return nil
 	}
 	if o.Run <= w.rejected[o.Task] || w.runs[o.Task] != nil {
-		return fleet.Outdated
+		return fleet.OutdatedRun
 	}
 	a := w.fleet.newTaskRun(o)
 	a.failing = w.failsNewRuns
@@ -248,10 +248,10 @@
 		used = used.Add(other.resources)
 	}
 	if !w.record.Capacity.Fits(used) {
-		return fleet.NoRoom
+		return fleet.NoCapacity
 	}
 	if !time.Now().Before(w.lease) {
-		return fleet.TooLate
+		return fleet.LeaseExpired
 	}
 	w.runs[o.Task] = a
 	select {
@@ -276,7 +276,7 @@
 	return nil
 }
 
-func (w *worker) report(o *fleet.Look) (fleet.Report, error) {
+func (w *worker) report(o *fleet.Poll) (fleet.Report, error) {
 	if err := w.admit(o.Token); err != nil {
 		return fleet.Report{}, err
 	}
@@ -285,7 +285,7 @@
 		w.extendLease(o.Lease)
 	}
 	w.pendingEnds = slices.DeleteFunc(w.pendingEnds, func(e fleet.End) bool { return e.Number <= o.Acknowledged })
-	r := fleet.Report{Life: w.record.Life(), Clock: w.clock(), Ended: slices.Clone(w.pendingEnds[:min(len(w.pendingEnds), maxEndsInReport)]), More: len(w.pendingEnds) >= maxEndsInReport}
+	r := fleet.Report{Incarnation: w.record.Incarnation(), Clock: w.clock(), Ended: slices.Clone(w.pendingEnds[:min(len(w.pendingEnds), maxEndsInReport)]), More: len(w.pendingEnds) >= maxEndsInReport}
 	for _, a := range w.sortedRuns() {
 		r.Running = append(r.Running, fleet.Run{Task: a.task, Run: a.number, Saved: a.saved, Done: a.fractionDone()})
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -36,23 +36,23 @@
 	ErrUndecided = errors.New("entry: no answer from the store")
 )
 
-// Invalid is the error of a job that is not acceptable as submitted.
-type Invalid struct {
+// InvalidJobError is the error of a job that is not acceptable as submitted.
+type InvalidJobError struct {
 	Reason string
 }
 
 // Error implements error.
-func (e *Invalid) Error() string { return e.Reason }
+func (e *InvalidJobError) Error() string { return e.Reason }
 
 // Entry serves the calls of clients. All exported fields but Figures are required.
 type Entry struct {
-	Ledger        *ledger.Ledger
-	Configuration func() *queue.Configuration
-	Healthy       func() bool // Reports whether the store answered the last calls.
-	Out           func() bool // Reports whether the store has not answered any call for a while.
-	Closed        func() bool // Reports whether every hall is emptied, so that no job can start.
-	Log           *zap.Logger
-	Figures       *measure.Figures // May be nil.
+	Ledger           *ledger.Ledger
+	Configuration    func() *queue.Configuration
+	StoreHealthy     func() bool // Reports whether the store answered the last calls.
+	StoreUnreachable func() bool // Reports whether the store has not answered any call for a while.
+	AllHallsEmptied  func() bool // Reports whether every hall is emptied, so that no job can start.
+	Log              *zap.Logger
+	Figures          *measure.Metrics // May be nil.
 
 	mu         sync.Mutex
 	workspaces map[job.ID]string // Workspaces of jobs that are known to be in the store.
@@ -117,8 +117,8 @@
 	if errors.Is(err, ledger.ErrCancelled) {
 		return nil // It was cancelled before it was submitted.
 	}
-	if errors.Is(err, ledger.ErrOther) {
-		return &Invalid{"the name belongs to another job"}
+	if errors.Is(err, ledger.ErrNameTaken) {
+		return &InvalidJobError{"the name belongs to another job"}
 	}
 	if err == nil {
 		e.remember(r.ID, r.Terms.Workspace)
@@ -129,7 +129,7 @@
 // refusedAsEmptied reports whether a job must be refused because every hall is emptied. It returns false for a job with
 // a schedule, which can wait, and for one that was accepted before.
 func (e *Entry) refusedAsEmptied(ctx context.Context, r *job.Request) bool {
-	if !e.Closed() || r.Schedule.Times > 0 {
+	if !e.AllHallsEmptied() || r.Schedule.Times > 0 {
 		return false
 	}
 	if _, known := e.workspaceOf(r.ID); known {
@@ -152,7 +152,7 @@
 // client can try another box. Once an attempt got no answer, it may have taken effect. Then f is repeated until ctx
 // ends, and if no answer comes until then the error is ErrUndecided.
 func (e *Entry) writeRepeatedly(ctx context.Context, f func(ctx context.Context) error) error {
-	if e.Out() {
+	if e.StoreUnreachable() {
 		return ErrUnavailable
 	}
 	began := time.Now()
@@ -165,7 +165,7 @@
 		case !errors.Is(err, store.ErrRefused):
 			return err
 		}
-		if !undecided && (!e.Healthy() || time.Since(began) > storeRetryLimit) {
+		if !undecided && (!e.StoreHealthy() || time.Since(began) > storeRetryLimit) {
 			return ErrUnavailable
 		}
 		if ctx.Err() != nil || !interval.Sleep(ctx, storeRetryPause) {
@@ -195,7 +195,7 @@
 	if err != nil {
 		e.Log.Warn("entry: unable to read why a job failed; answering without a reason", zap.String("job", string(id)), logsink.Error(err))
 	}
-	status.Reason = failure.Text()
+	status.Reason = failure.Message()
 	return status, nil
 }
 
@@ -292,7 +292,7 @@
 }
 
 func (e *Entry) countCall(what string, began time.Time, err error) {
-	e.Figures.Took("entry_"+what, time.Since(began))
+	e.Figures.ObserveDuration("entry_"+what, time.Since(began))
 	if err != nil {
 		e.Figures.Count("entry_" + what + "_failed")
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/pkg/errors"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // Worker is the record that one incarnation of a worker keeps of itself in the store. A restarted worker may keep its
@@ -20,27 +20,27 @@
 	Address  string // IP:port.
 	Hall     string
 	Draining bool          // It accepts no new runs; its runs end when it leaves.
-	Leaves   time.Duration // While draining: minimum time until it leaves.
+	TimeLeft time.Duration // While draining: minimum time until it leaves.
 	Labels   []string
 	Rack     string
 	Capacity job.Resources
 	Version  int64 // Version of the record in the store; 0 if not known.
 }
 
-// Life returns the incarnation that the record belongs to.
-func (w *Worker) Life() life.ID { return life.ID{Worker: w.ID, Born: w.Born} }
+// Incarnation returns the incarnation that the record belongs to.
+func (w *Worker) Incarnation() incarnation.ID { return incarnation.ID{Worker: w.ID, Born: w.Born} }
 
 // Errors of commands that got no answer or were not sent.
 var (
 	// ErrNoAnswer means that the command may have been carried out, or may still be carried out seconds later.
 	ErrNoAnswer = errors.New("fleet: no answer")
-	// ErrHungUp is an ErrNoAnswer because the worker closed the connection properly, as happens when its process ends. A
+	// ErrConnectionClosed is an ErrNoAnswer because the worker closed the connection properly, as happens when its process ends. A
 	// network failure resets the connection or leaves it silent.
-	ErrHungUp = errors.WithMessage(ErrNoAnswer, "fleet: the worker closed the connection")
+	ErrConnectionClosed = errors.WithMessage(ErrNoAnswer, "fleet: the worker closed the connection")
 	// ErrNotSent means that the command was never sent, because there was no connection.
 	ErrNotSent = errors.New("fleet: command not sent")
-	// ErrNotListening means that the command was never sent, because no process listens at the worker's address.
-	ErrNotListening = errors.New("fleet: no process listens at the worker's address")
+	// ErrConnectionRefused means that the command was never sent, because no process listens at the worker's address.
+	ErrConnectionRefused = errors.New("fleet: no process listens at the worker's address")
 )
 
 // Refusal is the reason for which a worker refused a command. A refused command has no effect.
@@ -48,13 +48,13 @@
 
 // Reasons of refusals.
 const (
-	Fenced    Refusal = iota // The worker has seen a higher fencing token.
-	Outdated                 // This run or a later one of the task was stopped or ended there.
-	TooLate                  // The lease in the command has expired.
-	NoRoom                   // The worker has too little free capacity.
-	OtherLife                // The worker has restarted; no run of the old incarnation remains.
-	Unhealthy                // The worker accepts no commands at present.
-	Invalid                  // The worker can't interpret the command.
+	Fenced           Refusal = iota // The worker has seen a higher fencing token.
+	OutdatedRun                     // This run or a later one of the task was stopped or ended there.
+	LeaseExpired                    // The lease in the command has expired.
+	NoCapacity                      // The worker has too little free capacity.
+	OtherIncarnation                // The worker has restarted; no run of the old incarnation remains.
+	Unhealthy                       // The worker accepts no commands at present.
+	Invalid                         // The worker can't interpret the command.
 )
 
 // Error implements error.
@@ -65,7 +65,7 @@
 
 // Start is the command to start a run.
 type Start struct {
-	job.Order
+	job.PlacedRun
 	Payload string
 	Lease   int64 // End of the lease of all runs on the worker, by the worker's clock in ms.
 	Token   int64 // Fencing token.
@@ -78,8 +78,8 @@
 	Token int64
 }
 
-// Look is the command to renew the lease of all runs on a worker and to report its running and ended runs.
-type Look struct {
+// Poll is the command to renew the lease of all runs on a worker and to report its running and ended runs.
+type Poll struct {
 	Token        int64
 	Acknowledged int64         // Number of the last end that the worker may delete.
 	Lease        int64         // As in Start; 0 to leave it unchanged.
@@ -105,17 +105,17 @@
 
 // Report is the answer to a poll.
 type Report struct {
-	Life    life.ID // The incarnation that answers.
-	Clock   int64   // Worker's clock in ms.
-	Running []Run
-	Ended   []End // By ascending numbers.
-	More    bool  // The report was full; there may be further ends.
+	Incarnation incarnation.ID // The incarnation that answers.
+	Clock       int64          // Worker's clock in ms.
+	Running     []Run
+	Ended       []End // By ascending numbers.
+	More        bool  // The report was full; there may be further ends.
 }
 
-// Orders sends commands to workers. Each call lasts until ctx ends at most. An error is a Refusal or one of the errors
+// Commands sends commands to workers. Each call lasts until ctx ends at most. An error is a Refusal or one of the errors
 // above. The returned clock is the worker's, in ms; 0 if not reported.
-type Orders interface {
+type Commands interface {
 	Start(ctx context.Context, w *Worker, o *Start) (clock int64, err error)
 	Stop(ctx context.Context, w *Worker, o *Stop) (clock int64, err error)
-	Look(ctx context.Context, w *Worker, o *Look) (Report, error)
+	Poll(ctx context.Context, w *Worker, o *Poll) (Report, error)
 }
--- a/internal/hall/book.go
+++ b/internal/hall/cache.go
@@ -15,8 +15,8 @@
 	"github.com/pulleyring/pulleyring/internal/table"
 )
 
-// Entry is a job with the version of its row and the times at which this box first saw its attempt and its stop.
-type Entry struct {
+// CachedJob is a job with the version of its row and the times at which this box first saw its attempt and its stop.
+type CachedJob struct {
 	settlement.Job
 	Version   int64
 	FirstSeen time.Time // When this box first saw the attempt; its workers held it before that.
@@ -24,7 +24,7 @@
 }
 
 // setTimes sets FirstSeen and StopSeen, and keeps the times of old if it describes the same attempt.
-func (j *Entry) setTimes(old *Entry) {
+func (j *CachedJob) setTimes(old *CachedJob) {
 	now := time.Now()
 	j.FirstSeen = now
 	if j.State == settlement.Stopping {
@@ -40,17 +40,17 @@
 }
 
 // Key returns the job's key, caller/id.
-func (j *Entry) Key() string { return j.Identity.String() }
+func (j *CachedJob) Key() string { return j.Identity.String() }
 
-// Book caches a hall's rows and refreshes them from the table. Set Hall and Table before use.
-type Book struct {
+// RowCache caches a hall's rows and refreshes them from the table. Set Hall and Table before use.
+type RowCache struct {
 	Hall  string
 	Table table.Service
 
 	mu           sync.Mutex
 	refreshToken chan struct{} // Holds one token while a refresh runs.
 	revision     int64
-	jobs         map[string]*Entry
+	jobs         map[string]*CachedJob
 	racks        map[string]int64 // Versions of the rack rows, by rack.
 }
 
@@ -58,7 +58,7 @@
 const changesLimit = 2000
 
 // Refresh applies the changes made to the table since the last refresh. Only one refresh runs at a time.
-func (c *Book) Refresh(ctx context.Context) error {
+func (c *RowCache) Refresh(ctx context.Context) error {
 	token := c.refreshTokens()
 	select {
 	case token <- struct{}{}:
@@ -84,7 +84,7 @@
 }
 
 // refreshTokens returns the channel that admits one refresh at a time.
-func (c *Book) refreshTokens() chan struct{} {
+func (c *RowCache) refreshTokens() chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.refreshToken == nil {
@@ -93,7 +93,7 @@
 	return c.refreshToken
 }
 
-func (c *Book) apply(rows []table.Row, revision int64) error {
+func (c *RowCache) apply(rows []table.Row, revision int64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.init()
@@ -106,14 +106,14 @@
 	return nil
 }
 
-func (c *Book) init() {
+func (c *RowCache) init() {
 	if c.jobs == nil {
-		c.jobs = map[string]*Entry{}
+		c.jobs = map[string]*CachedJob{}
 		c.racks = map[string]int64{}
 	}
 }
 
-func (c *Book) applyRow(row table.Row) error {
+func (c *RowCache) applyRow(row table.Row) error {
 	kind, name, _ := strings.Cut(strings.TrimPrefix(row.Key, settlement.HallPrefix(c.Hall)), "/")
 	switch kind {
 	case "rack":
@@ -127,7 +127,7 @@
 			delete(c.jobs, name)
 			return nil
 		}
-		j := &Entry{Version: row.Version}
+		j := &CachedJob{Version: row.Version}
 		if err := settlement.Decode(row, &j.Job); err != nil {
 			return err
 		}
@@ -138,7 +138,7 @@
 }
 
 // Put records a job row that this box committed. It keeps a newer version if there is one.
-func (c *Book) Put(job settlement.Job, version int64) {
+func (c *RowCache) Put(job settlement.Job, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.init()
@@ -147,13 +147,13 @@
 	if old != nil && old.Version >= version {
 		return
 	}
-	j := &Entry{Job: job, Version: version}
+	j := &CachedJob{Job: job, Version: version}
 	j.setTimes(old)
 	c.jobs[key] = j
 }
 
 // Drop records that this box committed the deletion of a job row.
-func (c *Book) Drop(key string, version int64) {
+func (c *RowCache) Drop(key string, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if old := c.jobs[key]; old != nil && old.Version < version {
@@ -162,7 +162,7 @@
 }
 
 // PutRack records that this box committed a rack's row.
-func (c *Book) PutRack(rack string, version int64) {
+func (c *RowCache) PutRack(rack string, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.init()
@@ -170,27 +170,27 @@
 }
 
 // RackVersion returns the version of a rack's row, or 0 if there is none.
-func (c *Book) RackVersion(rack string) int64 {
+func (c *RowCache) RackVersion(rack string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.racks[rack]
 }
 
 // Job returns a job, or nil if there is none. The caller must not change it.
-func (c *Book) Job(key string) *Entry {
+func (c *RowCache) Job(key string) *CachedJob {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[key]
 }
 
 // Jobs returns all jobs, sorted by key. The caller must not change them.
-func (c *Book) Jobs() []*Entry {
+func (c *RowCache) Jobs() []*CachedJob {
 	c.mu.Lock()
-	list := make([]*Entry, 0, len(c.jobs))
+	list := make([]*CachedJob, 0, len(c.jobs))
 	for _, j := range c.jobs {
 		list = append(list, j)
 	}
 	c.mu.Unlock()
-	slices.SortFunc(list, func(x, y *Entry) int { return strings.Compare(x.Key(), y.Key()) })
+	slices.SortFunc(list, func(x, y *CachedJob) int { return strings.Compare(x.Key(), y.Key()) })
 	return list
 }
--- a/internal/hall/cancel.go
+++ b/internal/hall/cancel.go
@@ -20,30 +20,30 @@
 
 // Cancel cancels a job. Any box may call it: the check of the row's version makes sure that no concurrent change is
 // overwritten. A conflict error means that the job changed meanwhile.
-func (c *Keeper) Cancel(ctx context.Context, j *Entry, reason string) (CancelResult, error) {
+func (c *Controller) Cancel(ctx context.Context, j *CachedJob, reason string) (CancelResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if j.State == settlement.Waiting {
 		return CancelUnrun, c.cancelWaiting(ctx, j, reason)
 	}
 	next, err := j.Job.Stop(settlement.Halt{Reason: reason, AtOnce: true, Cancel: true})
-	if errors.Is(err, settlement.ErrStep) {
+	if errors.Is(err, settlement.ErrTransition) {
 		return CancelPast, nil
 	}
 	if _, err := c.write(ctx, j, next, table.Reclaim); err != nil {
 		return "", err
 	}
 	c.recordEvent(j.Key(), j.Attempt, reason)
-	c.News(settlement.HallPrefix(c.Hall))
+	c.NotifyChanged(settlement.HallPrefix(c.Hall))
 	return CancelStopping, nil
 }
 
-func (c *Keeper) cancelWaiting(ctx context.Context, j *Entry, reason string) error {
-	reply, revision, err := c.trySettle(ctx, j, result{outcome: j.Unrun(), reason: reason})
+func (c *Controller) cancelWaiting(ctx context.Context, j *CachedJob, reason string) error {
+	reply, revision, err := c.trySettle(ctx, j, result{outcome: j.OutcomeWhileWaiting(), reason: reason})
 	if err != nil {
 		return err
 	}
 	c.finishSettlement(j, revision, reply)
-	c.News(settlement.HallPrefix(c.Hall))
+	c.NotifyChanged(settlement.HallPrefix(c.Hall))
 	return nil
 }
--- a/internal/hall/keeper.go
+++ b/internal/hall/controller.go
@@ -18,13 +18,13 @@
 	"go.uber.org/zap"
 )
 
-// Keeper schedules one hall in one box. Every box has one for every hall, but only the one in the hall's preferred
+// Controller schedules one hall in one box. Every box has one for every hall, but only the one in the hall's preferred
 // box makes decisions. Set the exported fields before Run.
-type Keeper struct {
+type Controller struct {
 	Hall      string
 	Settings  *settings.Box
 	Committer *table.Committer
-	Book      *Book
+	Rows      *RowCache
 	Workers   worker.Service
 	Objects   object.Store
 	Config    *config.Keeper
@@ -34,10 +34,10 @@
 
 	Preferred func() bool // Reports whether this box should decide for the hall.
 	// Returns the loads of all halls, as last reported by the boxes that decide for them.
-	Loads   func() []link.Load
-	Settled func(box string, s link.Settled) // Tells the box where the caller waits.
-	News    func(prefix string)              // Tells other boxes that rows with this prefix changed.
-	Metrics *Metrics                         // May be nil.
+	Loads         func() []link.Load
+	NotifySettled func(box string, s link.Settled) // Tells the box where the caller waits.
+	NotifyChanged func(prefix string)              // Tells other boxes that rows with this prefix changed.
+	Metrics       *Metrics                         // May be nil.
 
 	wake     chan struct{}
 	renewNow chan struct{}
@@ -52,7 +52,7 @@
 	pausedUntil    map[string]time.Time // Jobs that take no step before a time.
 	pendingStarts  map[string]*pendingStart
 	busyRacks      map[string]bool // Racks in which starts are in progress.
-	reservedRacks  []decider.SetAside
+	reservedRacks  []decider.RackReservation
 	waitReasons    map[string]*decider.Reason
 	load           link.Load
 	health         decider.Health
@@ -69,7 +69,7 @@
 }
 
 // Run schedules the hall until ctx ends.
-func (c *Keeper) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	c.init()
 	var group sync.WaitGroup
 	group.Go(func() { interval.EveryOrWoken(ctx, c.Settings.Lease.Renew, c.renewNow, c.renewIfActive) })
@@ -77,7 +77,7 @@
 	group.Wait()
 }
 
-func (c *Keeper) init() {
+func (c *Controller) init() {
 	c.once.Do(func() {
 		c.wake = make(chan struct{}, 1)
 		c.renewNow = make(chan struct{}, 1)
@@ -88,7 +88,7 @@
 }
 
 // clear resets the state that is only valid while this box decides.
-func (c *Keeper) clear() {
+func (c *Controller) clear() {
 	c.busy = map[string]bool{}
 	c.pausedUntil = map[string]time.Time{}
 	c.pendingStarts = map[string]*pendingStart{}
@@ -101,13 +101,13 @@
 }
 
 // Wake requests a pass soon.
-func (c *Keeper) Wake() {
+func (c *Controller) Wake() {
 	c.init()
 	signal(c.wake)
 }
 
-// Stale records that rows of the hall changed and requests a pass.
-func (c *Keeper) Stale() {
+// MarkStale records that rows of the hall changed and requests a pass.
+func (c *Controller) MarkStale() {
 	c.mu.Lock()
 	c.stale = true
 	c.mu.Unlock()
@@ -123,7 +123,7 @@
 
 // update takes over or gives up the hall if the preferred box changed. If this box decides, it then checks all
 // attempts and makes a decision pass.
-func (c *Keeper) update(ctx context.Context) {
+func (c *Controller) update(ctx context.Context) {
 	preferred := c.Preferred() && c.Config.Site() != nil
 	if preferred != c.active() {
 		c.setActive(ctx, preferred)
@@ -139,13 +139,13 @@
 }
 
 // active reports whether this box decides for the hall.
-func (c *Keeper) active() bool {
+func (c *Controller) active() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.deciding
 }
 
-func (c *Keeper) setActive(ctx context.Context, preferred bool) {
+func (c *Controller) setActive(ctx context.Context, preferred bool) {
 	c.mu.Lock()
 	c.deciding = preferred
 	if preferred {
@@ -163,7 +163,7 @@
 }
 
 // refresh updates the cached rows if they changed or are too old, and reports whether they are up to date.
-func (c *Keeper) refresh(ctx context.Context) bool {
+func (c *Controller) refresh(ctx context.Context) bool {
 	c.mu.Lock()
 	needed := c.stale || time.Since(c.refreshed) > c.Settings.Timing.Refresh
 	c.stale = false
@@ -172,7 +172,7 @@
 		return true
 	}
 	began := time.Now()
-	err := c.Book.Refresh(ctx)
+	err := c.Rows.Refresh(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
@@ -184,19 +184,19 @@
 }
 
 // checked returns the time as of which the cached rows are known to be up to date.
-func (c *Keeper) checked() time.Time {
+func (c *Controller) checked() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refreshed
 }
 
 // recordEvent adds an event of this hall to the timeline.
-func (c *Keeper) recordEvent(job, attempt, text string) {
+func (c *Controller) recordEvent(job, attempt, text string) {
 	c.Recorder.Add(timeline.Event{Part: "hall", Hall: c.Hall, Job: job, Attempt: attempt, Text: text})
 }
 
 // workers returns the hall's workers.
-func (c *Keeper) workers() []contract.Worker {
+func (c *Controller) workers() []contract.Worker {
 	site := c.Config.Site()
 	if site == nil {
 		return nil
@@ -210,7 +210,7 @@
 }
 
 // workersByName returns the hall's workers by name.
-func (c *Keeper) workersByName() map[string]contract.Worker {
+func (c *Controller) workersByName() map[string]contract.Worker {
 	list := map[string]contract.Worker{}
 	for _, w := range c.workers() {
 		list[w.Name] = w
@@ -218,8 +218,8 @@
 	return list
 }
 
-// Why returns the reason why a job of this hall waits, or "" if it does not wait.
-func (c *Keeper) Why(key string) string {
+// WaitReason returns the reason why a job of this hall waits, or "" if it does not wait.
+func (c *Controller) WaitReason(key string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.waitReasons[key]; r != nil {
@@ -229,19 +229,19 @@
 }
 
 // Load returns the hall's load, and whether this box decides for the hall.
-func (c *Keeper) Load() (link.Load, bool) {
+func (c *Controller) Load() (link.Load, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.load, c.deciding
 }
 
 // Usage returns the usage that a worker last reported, and whether that report is recent.
-func (c *Keeper) Usage(name string) (contract.Shape, bool) {
+func (c *Controller) Usage(name string) (contract.Shape, bool) {
 	return c.monitor.usage(name), c.monitor.reachable(name, c.reportMaxAge())
 }
 
-// SetAsides returns the job for which each rack is reserved, by rack. Racks without a reservation are left out.
-func (c *Keeper) SetAsides() map[string]string {
+// ReservedRacks returns the job for which each rack is reserved, by rack. Racks without a reservation are left out.
+func (c *Controller) ReservedRacks() map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	site := c.Config.Site()
@@ -259,10 +259,10 @@
 }
 
 // jobField returns a log field with the job's key.
-func (c *Keeper) jobField(j *Entry) zap.Field { return zap.String("job", j.Key()) }
+func (c *Controller) jobField(j *CachedJob) zap.Field { return zap.String("job", j.Key()) }
 
-// Busy returns the number of jobs with a step in progress in this box.
-func (c *Keeper) Busy() int {
+// BusyJobs returns the number of jobs with a step in progress in this box.
+func (c *Controller) BusyJobs() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.busy)
--- a/internal/hall/loss.go
+++ b/internal/hall/loss.go
@@ -56,14 +56,14 @@
 }
 
 // sampleWorkers counts the workers that run jobs without losses, if a sample is due. The caller holds c.mu.
-func (c *Keeper) sampleWorkers(now time.Time) {
+func (c *Controller) sampleWorkers(now time.Time) {
 	if !c.losses.Due(now) {
 		return
 	}
 	watched := map[string]bool{}
-	for _, j := range c.Book.Jobs() {
-		for i := range j.Seats {
-			if name := j.Seats[i].Worker; j.State == settlement.Starting && j.Losses == 0 {
+	for _, j := range c.Rows.Jobs() {
+		for i := range j.Placements {
+			if name := j.Placements[i].Worker; j.State == settlement.Starting && j.Losses == 0 {
 				watched[name] = true
 			}
 		}
@@ -74,13 +74,13 @@
 // classifyLoss reports whether the loss of an attempt's workers counts against its job, and whether the loss was
 // late. A late loss counts only if few other workers were lost at the same time, and if hardly any of the attempt's
 // workers would be lost in that run time without the job's doing.
-func (c *Keeper) classifyLoss(j *Entry, states []settlement.Sight) (counts, late bool) {
+func (c *Controller) classifyLoss(j *CachedJob, states []settlement.WorkerState) (counts, late bool) {
 	var lost []string
 	runTime := time.Duration(math.MaxInt64)
 	for i, s := range states {
 		if s.Lost || s.Expired {
-			lost = append(lost, j.Seats[i].Worker)
-			runTime = min(runTime, c.monitor.lastSeenLive(j.Seats[i].Worker, j).Sub(j.Started))
+			lost = append(lost, j.Placements[i].Worker)
+			runTime = min(runTime, c.monitor.lastSeenLive(j.Placements[i].Worker, j).Sub(j.Started))
 		}
 	}
 	if len(lost) == 0 {
@@ -92,13 +92,13 @@
 	if runTime <= earlyLossMaxAge {
 		return true, false
 	}
-	expected := float64(len(j.Seats)) * c.losses.Expected(runTime, j.Losses > 0)
-	return others < commonCauseLosses && expected <= loss.ChanceMost, true
+	expected := float64(len(j.Placements)) * c.losses.ExpectedLosses(runTime, j.Losses > 0)
+	return others < commonCauseLosses && expected <= loss.MaxExpectedLosses, true
 }
 
 // lastSeenLive returns when a worker last reported an attempt as live, or when this box first saw the attempt,
 // whichever is later.
-func (m *workerMonitor) lastSeenLive(name string, j *Entry) time.Time {
+func (m *workerMonitor) lastSeenLive(name string, j *CachedJob) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if at := m.worker(name).lastLive[j.Attempt]; at.After(j.FirstSeen) {
@@ -112,9 +112,9 @@
 // Jobs with losses start one at a time: the next one waits until the last one has run for suspectRunTime. If that
 // one had exclusiveAfter late losses, the next one waits until it ends. Otherwise jobs that were lost together would
 // start and be lost together again, until sound jobs are failed beside the one that crashes their workers.
-func (c *Keeper) nextSuspect(now time.Time) string {
+func (c *Controller) nextSuspect(now time.Time) string {
 	var waiting []string
-	for _, j := range c.Book.Jobs() {
+	for _, j := range c.Rows.Jobs() {
 		if j.Losses == 0 {
 			continue
 		}
@@ -137,4 +137,6 @@
 }
 
 // suspectRunTime is the time after which reports show that an attempt has outlived earlyLossMaxAge.
-func (c *Keeper) suspectRunTime() time.Duration { return earlyLossMaxAge + 2*c.Settings.Lease.Renew }
+func (c *Controller) suspectRunTime() time.Duration {
+	return earlyLossMaxAge + 2*c.Settings.Lease.Renew
+}
--- a/internal/hall/loss_test.go
+++ b/internal/hall/loss_test.go
@@ -11,16 +11,16 @@
 )
 
 // classifyTestLoss classifies the loss of the first worker of an attempt that has run for a given time.
-func classifyTestLoss(c *Keeper, id string, ran time.Duration, before int, workers ...string) (counts, late bool) {
+func classifyTestLoss(c *Controller, id string, ran time.Duration, before int, workers ...string) (counts, late bool) {
 	now := time.Now()
-	j := &Entry{FirstSeen: now.Add(-ran), Job: settlement.Job{Identity: request.Identity{Caller: "clerk", ID: id}, Started: now.Add(-ran), Attempt: id, Losses: before}}
+	j := &CachedJob{FirstSeen: now.Add(-ran), Job: settlement.Job{Identity: request.Identity{Caller: "clerk", ID: id}, Started: now.Add(-ran), Attempt: id, Losses: before}}
 	for _, name := range workers {
-		j.Seats = append(j.Seats, settlement.Seat{Worker: name})
+		j.Placements = append(j.Placements, settlement.Placement{Worker: name})
 	}
 	c.monitor.mu.Lock()
 	c.monitor.worker(workers[0]).lastLive[id] = now
 	c.monitor.mu.Unlock()
-	states := make([]settlement.Sight, len(workers))
+	states := make([]settlement.WorkerState, len(workers))
 	states[0].Lost = true
 	return c.classifyLoss(j, states)
 }
@@ -42,7 +42,7 @@
 		"late, with two others":              {ran: time.Minute, watched: time.Hour, others: []string{"x", "y"}, counts: true, late: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			controller := &Keeper{}
+			controller := &Controller{}
 			controller.losses.Background = loss.Background{Lost: c.lost, Watched: 10 * c.watched.Seconds()}
 			for _, other := range c.others {
 				classifyTestLoss(controller, "of "+other, time.Minute, 0, other)
@@ -57,12 +57,12 @@
 // TestSimultaneousLossesCountOnce fails if workers that are lost within moments count as several background losses,
 // or if the loss of a suspect gang counts as one at all.
 func TestSimultaneousLossesCountOnce(t *testing.T) {
-	c := &Keeper{}
+	c := &Controller{}
 	for _, name := range []string{"w1", "w2", "w3"} {
 		classifyTestLoss(c, "of "+name, time.Minute, 0, name)
 	}
 	qt.Check(t, c.losses.Lost, qt.Equals, 1.0)
-	c = &Keeper{}
+	c = &Controller{}
 	classifyTestLoss(c, "suspect", time.Minute, 1, "w4")
 	qt.Check(t, c.losses.Lost, qt.Equals, 0.0)
 }
--- a/internal/hall/sight.go
+++ b/internal/hall/monitor.go
@@ -167,21 +167,21 @@
 }
 
 // workerStates returns the last observed state of an attempt at each of its workers.
-func (m *workerMonitor) workerStates(j *Entry, b timeLimits) []settlement.Sight {
+func (m *workerMonitor) workerStates(j *CachedJob, b timeLimits) []settlement.WorkerState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	list := make([]settlement.Sight, len(j.Seats))
-	for i, placement := range j.Seats {
+	list := make([]settlement.WorkerState, len(j.Placements))
+	for i, placement := range j.Placements {
 		list[i] = m.worker(placement.Worker).state(j, b)
 	}
 	return list
 }
 
 // state returns the last observed state of an attempt at one worker.
-func (w *workerRecord) state(j *Entry, b timeLimits) settlement.Sight {
+func (w *workerRecord) state(j *CachedJob, b timeLimits) settlement.WorkerState {
 	task := w.tasks[j.Attempt]
 	if ended(task) { // An end is final.
-		return settlement.Sight{Task: task, Known: true}
+		return settlement.WorkerState{Task: task, Known: true}
 	}
 	found := task.State.Live()
 	if found {
@@ -189,28 +189,28 @@
 	}
 	recent := time.Since(w.lastReport) <= b.reportMaxAge && w.lastReport.After(j.FirstSeen)
 	if found && recent {
-		return settlement.Sight{Task: task, Known: true}
+		return settlement.WorkerState{Task: task, Known: true}
 	}
 	if recent && w.missingSince[j.Attempt].IsZero() {
 		w.missingSince[j.Attempt] = time.Now()
 	}
 	if since := w.missingSince[j.Attempt]; !since.IsZero() {
-		return settlement.Sight{Lost: true, Traceless: true, Expired: time.Since(since) > b.lease+leaseMargin}
+		return settlement.WorkerState{Lost: true, NoTrace: true, Expired: time.Since(since) > b.lease+leaseMargin}
 	}
-	return settlement.Sight{Lost: w.lost, Expired: w.lost && j.leaseExpired(b)}
+	return settlement.WorkerState{Lost: w.lost, Expired: w.lost && j.leaseExpired(b)}
 }
 
 // leaseExpired reports whether the lease of a stopping attempt has surely expired. Every other box either reads that
 // the attempt must stop, or ends its renewals once its rows are older than rowsMaxAge. That time also covers a start
 // command that a worker carries out late.
-func (j *Entry) leaseExpired(b timeLimits) bool {
+func (j *CachedJob) leaseExpired(b timeLimits) bool {
 	return !j.StopSeen.IsZero() && time.Since(j.StopSeen) > b.rowsMaxAge+b.lease+leaseMargin
 }
 
 // timeLimits returns the time limits from the settings.
-func (c *Keeper) timeLimits() timeLimits {
+func (c *Controller) timeLimits() timeLimits {
 	return timeLimits{reportMaxAge: c.reportMaxAge(), lease: c.Settings.Lease.Run, rowsMaxAge: c.Settings.Lease.Unchecked}
 }
 
 // reportMaxAge returns the age up to which a worker's report counts as the state of its live tasks.
-func (c *Keeper) reportMaxAge() time.Duration { return 2*c.Settings.Lease.Renew + renewTimeout }
+func (c *Controller) reportMaxAge() time.Duration { return 2*c.Settings.Lease.Renew + renewTimeout }
--- a/internal/hall/sight_test.go
+++ b/internal/hall/monitor_test.go
@@ -18,24 +18,24 @@
 		m.reset()
 		m.recordReport("w1", time.Now(), worker.Report{})
 		time.Sleep(10 * time.Millisecond)
-		job := settlement.Job{State: settlement.Starting, Attempt: "a#1", Started: time.Now(), Seats: []settlement.Seat{{Worker: "w1"}}}
+		job := settlement.Job{State: settlement.Starting, Attempt: "a#1", Started: time.Now(), Placements: []settlement.Placement{{Worker: "w1"}}}
 		job.Submission.AtMostOnce = true
-		j := &Entry{Job: job, FirstSeen: time.Now()}
+		j := &CachedJob{Job: job, FirstSeen: time.Now()}
 		limits := timeLimits{reportMaxAge: time.Second, lease: 4 * time.Second, rowsMaxAge: time.Minute}
 		time.Sleep(10 * time.Millisecond)
 		m.recordTask("w1", worker.Task{Attempt: "b#1", State: worker.Refused})
 		states := m.workerStates(j, limits)
-		qt.Assert(t, settlement.Judge(&j.Job, states), qt.Equals, settlement.Keep)
+		qt.Assert(t, settlement.NextStep(&j.Job, states), qt.Equals, settlement.NoAction)
 
 		time.Sleep(10 * time.Millisecond)
 		m.recordReport("w1", time.Now(), worker.Report{})
 		states = m.workerStates(j, limits)
-		qt.Assert(t, settlement.Judge(&j.Job, states), qt.Equals, settlement.End)
+		qt.Assert(t, settlement.NextStep(&j.Job, states), qt.Equals, settlement.StopMembers)
 
 		// Until its lease expires, the gang may still run.
 		time.Sleep(limits.lease + leaseMargin + time.Millisecond)
 		states = m.workerStates(j, limits)
-		qt.Assert(t, settlement.Judge(&j.Job, states), qt.Equals, settlement.Unknown)
+		qt.Assert(t, settlement.NextStep(&j.Job, states), qt.Equals, settlement.Unknown)
 	})
 }
 
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var m workerMonitor
 		m.reset()
-		j := &Entry{Job: settlement.Job{State: settlement.Stopping, Attempt: "a#1", Seats: []settlement.Seat{{Worker: "w1"}}}}
+		j := &CachedJob{Job: settlement.Job{State: settlement.Stopping, Attempt: "a#1", Placements: []settlement.Placement{{Worker: "w1"}}}}
 		j.FirstSeen, j.StopSeen = time.Now(), time.Now()
 		limits := timeLimits{reportMaxAge: time.Second, lease: 4 * time.Second, rowsMaxAge: 10 * time.Second}
 		time.Sleep(10 * time.Millisecond)
@@ -55,11 +55,11 @@
 		time.Sleep(time.Hour)
 		m.recordFailure("w1", asked, limits.lease)
 		m.recordFailure("w1", time.Now(), limits.lease)
-		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.Sight{{}})
+		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.WorkerState{{}})
 
 		time.Sleep(limits.lease + time.Second)
 		m.recordFailure("w1", time.Now(), limits.lease)
-		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.Sight{{Lost: true, Expired: true}})
+		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.WorkerState{{Lost: true, Expired: true}})
 	})
 }
 
@@ -84,14 +84,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		var m workerMonitor
 		m.reset()
-		j := &Entry{Job: settlement.Job{State: settlement.Starting, Attempt: "a#1", Seats: []settlement.Seat{{Worker: "w1"}}}, FirstSeen: time.Now()}
+		j := &CachedJob{Job: settlement.Job{State: settlement.Starting, Attempt: "a#1", Placements: []settlement.Placement{{Worker: "w1"}}}, FirstSeen: time.Now()}
 		limits := timeLimits{reportMaxAge: time.Second, lease: 4 * time.Second, rowsMaxAge: time.Minute}
 		time.Sleep(10 * time.Millisecond)
 		done := worker.Task{Attempt: "a#1", State: worker.Finished, Answer: []byte(`1`)}
 		m.recordReport("w1", time.Now(), worker.Report{Tasks: []worker.Task{done}})
 		time.Sleep(10 * time.Millisecond)
 		m.recordReport("w1", time.Now(), worker.Report{})
-		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.Sight{{Known: true, Task: done}})
+		qt.Assert(t, m.workerStates(j, limits), qt.DeepEquals, []settlement.WorkerState{{Known: true, Task: done}})
 
 		// The end is forgotten some time after no row names it any more.
 		qt.Assert(t, m.orphanedTasks("w1", nil, time.Now()), qt.HasLen, 0)
--- a/internal/hall/pass.go
+++ b/internal/hall/pass.go
@@ -13,7 +13,7 @@
 )
 
 // decide makes one decision pass and starts to carry out the decisions.
-func (c *Keeper) decide(ctx context.Context) {
+func (c *Controller) decide(ctx context.Context) {
 	began := time.Now()
 	site, orders := c.Config.Site(), c.Config.Orders()
 	site = withGrants(site, orders.Granted, began)
@@ -22,7 +22,7 @@
 	c.dropEndedPauses(began)
 	v := c.buildView(site, orders, loads, began)
 	outcome := c.Policy.Decide(v)
-	c.reservedRacks = outcome.SetAsides
+	c.reservedRacks = outcome.RackReservations
 	c.load = loadOf(c.Hall, v)
 	c.recordWaitReasons(v, outcome.Waits)
 	starts := c.prepareStarts(v, outcome.Decisions)
@@ -51,7 +51,7 @@
 	return &raised
 }
 
-func (c *Keeper) recordWaitReasons(v *decider.View, waits []decider.Wait) {
+func (c *Controller) recordWaitReasons(v *decider.View, waits []decider.Wait) {
 	c.waitReasons = make(map[string]*decider.Reason, len(waits))
 	for _, w := range waits {
 		c.waitReasons[v.Waiting[w.Job].Key] = w.Reason
@@ -60,14 +60,14 @@
 
 // prepareStarts assigns devices to the decided starts and returns them by rack. The caller holds c.mu. Racks with
 // starts in progress wait for a later pass, because only one transaction at a time can write a rack's row.
-func (c *Keeper) prepareStarts(v *decider.View, decisions []decider.Decision) map[string][]*pendingStart {
+func (c *Controller) prepareStarts(v *decider.View, decisions []decider.Decision) map[string][]*pendingStart {
 	taken := c.takenDevices()
 	racks := map[string][]*pendingStart{}
 	for _, d := range decisions {
 		if d.Kind != decider.Start {
 			continue
 		}
-		j := c.Book.Job(d.Job)
+		j := c.Rows.Job(d.Job)
 		rack := v.Racks[v.Workers[d.Members[0].Worker].Rack].Name
 		if j == nil || j.State != settlement.Waiting || c.busyRacks[rack] {
 			continue
@@ -87,9 +87,9 @@
 }
 
 // takenDevices returns the devices that job rows and pending starts use, by worker.
-func (c *Keeper) takenDevices() map[string]map[int]bool {
+func (c *Controller) takenDevices() map[string]map[int]bool {
 	taken := map[string]map[int]bool{}
-	add := func(placements []settlement.Seat) {
+	add := func(placements []settlement.Placement) {
 		for _, s := range placements {
 			if taken[s.Worker] == nil {
 				taken[s.Worker] = map[int]bool{}
@@ -99,9 +99,9 @@
 			}
 		}
 	}
-	for _, j := range c.Book.Jobs() {
+	for _, j := range c.Rows.Jobs() {
 		if !j.Unsettled { // Nothing of an unsettled job runs any more.
-			add(j.Seats)
+			add(j.Placements)
 		}
 	}
 	for _, p := range c.pendingStarts {
@@ -116,7 +116,7 @@
 	next := 0
 	for _, m := range members {
 		w := v.Workers[m.Worker]
-		s := settlement.Seat{Worker: w.Name}
+		s := settlement.Placement{Worker: w.Name}
 		s.Devices = devices(w.Capacity.Accelerators, m.Count*p.job.Submission.Shape.Accelerators, taken[w.Name])
 		if s.Devices == nil {
 			return false
@@ -139,9 +139,9 @@
 }
 
 // applyDecisions starts to carry out all decisions except starts.
-func (c *Keeper) applyDecisions(ctx context.Context, decisions []decider.Decision) {
+func (c *Controller) applyDecisions(ctx context.Context, decisions []decider.Decision) {
 	for _, d := range decisions {
-		j := c.Book.Job(d.Job)
+		j := c.Rows.Job(d.Job)
 		if j == nil {
 			continue
 		}
@@ -149,30 +149,30 @@
 		case decider.Stop:
 			halt := settlement.Halt{Reason: d.Reason.String(), AtOnce: d.AtOnce}
 			c.runStep(j.Key(), func() { c.stop(ctx, j, halt) })
-		case decider.GiveUp:
-			c.runStep(j.Key(), func() { c.settle(ctx, j, result{outcome: j.Unrun(), reason: d.Reason.String()}) })
+		case decider.Fail:
+			c.runStep(j.Key(), func() { c.settle(ctx, j, result{outcome: j.OutcomeWhileWaiting(), reason: d.Reason.String()}) })
 		}
 	}
 }
 
 // settleExpired settles jobs whose deadline passed while they waited.
-func (c *Keeper) settleExpired(ctx context.Context, v *decider.View) {
+func (c *Controller) settleExpired(ctx context.Context, v *decider.View) {
 	for i := range v.Waiting {
-		j := c.Book.Job(v.Waiting[i].Key)
+		j := c.Rows.Job(v.Waiting[i].Key)
 		if j == nil || j.State != settlement.Waiting {
 			continue
 		}
 		deadline := j.Submission.Deadline(j.Received)
 		if !deadline.IsZero() && v.Now.After(deadline) {
 			c.runStep(j.Key(), func() {
-				c.settle(ctx, j, result{outcome: j.Unrun(), reason: "its deadline passed before it could start"})
+				c.settle(ctx, j, result{outcome: j.OutcomeWhileWaiting(), reason: "its deadline passed before it could start"})
 			})
 		}
 	}
 }
 
 // runStep runs one step of a job in a goroutine, unless the job is busy or paused.
-func (c *Keeper) runStep(key string, step func()) {
+func (c *Controller) runStep(key string, step func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.busy[key] || time.Now().Before(c.pausedUntil[key]) {
@@ -192,10 +192,10 @@
 	pauseAfterFailedHold = 500 * time.Millisecond // The devices were refused, or the commit failed.
 )
 
-func (c *Keeper) stepDone(key string) { c.endStep(key, pauseAfterStep) }
+func (c *Controller) stepDone(key string) { c.endStep(key, pauseAfterStep) }
 
 // endStep marks a job as no longer busy and pauses it for a duration.
-func (c *Keeper) endStep(key string, d time.Duration) {
+func (c *Controller) endStep(key string, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.busy, key)
@@ -204,7 +204,7 @@
 }
 
 // dropEndedPauses removes pauses that have ended. The caller holds c.mu.
-func (c *Keeper) dropEndedPauses(now time.Time) {
+func (c *Controller) dropEndedPauses(now time.Time) {
 	for key, until := range c.pausedUntil {
 		if !now.Before(until) {
 			delete(c.pausedUntil, key)
@@ -213,24 +213,24 @@
 }
 
 // checkAttempts checks the state of every attempt and starts the next step that it needs.
-func (c *Keeper) checkAttempts(ctx context.Context) {
-	for _, j := range c.Book.Jobs() {
+func (c *Controller) checkAttempts(ctx context.Context) {
+	for _, j := range c.Rows.Jobs() {
 		if j.State == settlement.Waiting || c.isBusy(j.Key()) {
 			continue
 		}
 		states := c.monitor.workerStates(j, c.timeLimits())
-		step := settlement.Judge(&j.Job, states)
+		step := settlement.NextStep(&j.Job, states)
 		switch step {
-		case settlement.Keep:
+		case settlement.NoAction:
 			if j.State == settlement.Stopping {
 				c.runStep(j.Key(), func() { c.stopWorkers(ctx, j) })
 			}
-		case settlement.Push:
+		case settlement.StartMembers:
 			c.runStep(j.Key(), func() { c.launch(ctx, &j.Job) })
-		case settlement.End:
+		case settlement.StopMembers:
 			halt := settlement.Halt{Reason: "a member was lost or failed", AtOnce: true, Lost: true}
 			c.runStep(j.Key(), func() { c.stop(ctx, j, halt) })
-		case settlement.Again:
+		case settlement.RunAgain:
 			c.runStep(j.Key(), func() { c.requeue(ctx, j, states) })
 		default:
 			outcome, _ := step.Outcome()
@@ -242,16 +242,16 @@
 	}
 }
 
-func (c *Keeper) isBusy(key string) bool {
+func (c *Controller) isBusy(key string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.busy[key] || time.Now().Before(c.pausedUntil[key])
 }
 
 // outcomeReason returns the reason that callers are given for an outcome, or "".
-func outcomeReason(j *Entry, outcome request.Outcome) string {
+func outcomeReason(j *CachedJob, outcome request.Outcome) string {
 	if outcome == request.Unresolved {
-		return settlement.ReasonUnknowable
+		return settlement.ReasonWorkerLost
 	}
 	if j.Halt != nil && outcome != request.Done {
 		return j.Halt.Reason
--- a/internal/hall/renewal.go
+++ b/internal/hall/renewal.go
@@ -11,7 +11,7 @@
 )
 
 // renewIfActive renews the leases at all workers and records their reports, if this box decides for the hall.
-func (c *Keeper) renewIfActive(ctx context.Context) {
+func (c *Controller) renewIfActive(ctx context.Context) {
 	if c.active() {
 		c.renewAll(ctx)
 		c.Wake()
@@ -19,13 +19,13 @@
 }
 
 // renewAll sends one renewal to each worker.
-func (c *Keeper) renewAll(ctx context.Context) {
+func (c *Controller) renewAll(ctx context.Context) {
 	// Read the clocks before the rows: the leases renewed by these rows end at most run_ms after these clocks.
 	clocks := c.monitor.clocks()
 	healthy := c.healthyAttempts()
 	checked := c.checked() // Before the jobs are listed, so that they are at least as new.
 	current := map[string]bool{}
-	for _, j := range c.Book.Jobs() {
+	for _, j := range c.Rows.Jobs() {
 		current[j.Attempt] = true
 	}
 	c.failUnlistedWorkers()
@@ -45,10 +45,10 @@
 
 // failUnlistedWorkers records a failed report for workers that rows name but the configuration does not, because
 // they can't be asked.
-func (c *Keeper) failUnlistedWorkers() {
+func (c *Controller) failUnlistedWorkers() {
 	listed := c.workersByName()
-	for _, j := range c.Book.Jobs() {
-		for _, placement := range j.Seats {
+	for _, j := range c.Rows.Jobs() {
+		for _, placement := range j.Placements {
 			if _, ok := listed[placement.Worker]; !ok {
 				c.monitor.recordFailure(placement.Worker, time.Now(), c.Settings.Lease.Run)
 			}
@@ -58,16 +58,16 @@
 
 // healthyAttempts returns, by worker, the started attempts whose members are all healthy. Only these are renewed, so
 // that a gang that lost a member ends as a whole. If the cached rows are too old, it returns none.
-func (c *Keeper) healthyAttempts() map[string][]string {
+func (c *Controller) healthyAttempts() map[string][]string {
 	list := map[string][]string{}
 	if age(c.checked()) > c.Settings.Lease.Unchecked {
 		return list
 	}
-	for _, j := range c.Book.Jobs() {
+	for _, j := range c.Rows.Jobs() {
 		if j.State != settlement.Starting || !c.healthy(j) {
 			continue
 		}
-		for _, placement := range j.Seats {
+		for _, placement := range j.Placements {
 			list[placement.Worker] = append(list[placement.Worker], j.Attempt)
 		}
 	}
@@ -80,7 +80,7 @@
 	return max(time.Since(at), time.Now().Round(0).Sub(at.Round(0)))
 }
 
-func (c *Keeper) healthy(j *Entry) bool {
+func (c *Controller) healthy(j *CachedJob) bool {
 	for _, s := range c.monitor.workerStates(j, c.timeLimits()) {
 		if s.Known && !s.Task.State.Live() && s.Task.State != worker.Finished {
 			return false
@@ -94,14 +94,14 @@
 
 // reportedWithin reports whether every worker of an attempt reported within d. It also returns true if the attempt
 // or the monitor started less than d ago.
-func (c *Keeper) reportedWithin(j *Entry, d time.Duration) bool {
+func (c *Controller) reportedWithin(j *CachedJob, d time.Duration) bool {
 	c.monitor.mu.Lock()
 	since := c.monitor.since
 	c.monitor.mu.Unlock()
 	if time.Since(j.Started) <= d || time.Since(since) <= d {
 		return true
 	}
-	for _, placement := range j.Seats {
+	for _, placement := range j.Placements {
 		if !c.monitor.reachable(placement.Worker, d) {
 			return false
 		}
@@ -109,7 +109,7 @@
 	return true
 }
 
-func (c *Keeper) renew(ctx context.Context, w contract.Worker, renewal worker.Renewal) {
+func (c *Controller) renew(ctx context.Context, w contract.Worker, renewal worker.Renewal) {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	asked := time.Now()
--- a/internal/hall/settle.go
+++ b/internal/hall/settle.go
@@ -25,7 +25,7 @@
 const settleRetryPause = 500 * time.Millisecond
 
 // stop commits that an attempt must stop, and then stops it. It stops nothing if the commit fails.
-func (c *Keeper) stop(ctx context.Context, j *Entry, stop settlement.Halt) {
+func (c *Controller) stop(ctx context.Context, j *CachedJob, stop settlement.Halt) {
 	next, err := j.Job.Stop(stop)
 	if err != nil {
 		return
@@ -35,11 +35,11 @@
 		return
 	}
 	c.recordEvent(j.Key(), j.Attempt, "told to stop: "+stop.Reason)
-	c.stopWorkers(ctx, &Entry{Job: next, Version: revision})
+	c.stopWorkers(ctx, &CachedJob{Job: next, Version: revision})
 }
 
 // write replaces a job's row if it still has the version of j, and returns the new version.
-func (c *Keeper) write(ctx context.Context, j *Entry, next settlement.Job, priority table.Priority) (int64, error) {
+func (c *Controller) write(ctx context.Context, j *CachedJob, next settlement.Job, priority table.Priority) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	key := settlement.JobKey(c.Hall, j.Identity)
@@ -49,30 +49,30 @@
 		Writes:   []table.Write{table.Put(key, next)},
 	})
 	if err != nil {
-		c.Stale()
+		c.MarkStale()
 		return 0, err
 	}
-	c.Book.Put(next, revision)
+	c.Rows.Put(next, revision)
 	return revision, nil
 }
 
 // stopWorkers stops an attempt at all its workers, after a checkpoint if the job has checkpoints and need not stop
 // at once.
-func (c *Keeper) stopWorkers(ctx context.Context, j *Entry) {
+func (c *Controller) stopWorkers(ctx context.Context, j *CachedJob) {
 	workers := c.workersByName()
 	if j.Submission.Checkpoints && !j.Halt.AtOnce {
-		c.sendStep(ctx, workers, j.Seats, worker.Checkpoint, j.Attempt, 0)
+		c.sendStep(ctx, workers, j.Placements, worker.Checkpoint, j.Attempt, 0)
 	}
-	if !c.sendStep(ctx, workers, j.Seats, worker.Stop, j.Attempt, 0) {
+	if !c.sendStep(ctx, workers, j.Placements, worker.Stop, j.Attempt, 0) {
 		interval.Sleep(ctx, stepTimeout/2) // Some workers could not be reached; the next pass retries.
 	}
 }
 
 // requeue commits that the job waits again, with the progress of its last checkpoint.
-func (c *Keeper) requeue(ctx context.Context, j *Entry, states []settlement.Sight) {
+func (c *Controller) requeue(ctx context.Context, j *CachedJob, states []settlement.WorkerState) {
 	done := 0.0
 	if j.Submission.Checkpoints {
-		done = settlement.Saved(states)
+		done = settlement.CheckpointedWork(states)
 	}
 	next, err := j.Job.Requeue(done, mayHaveRun(states))
 	if err != nil {
@@ -91,7 +91,7 @@
 }
 
 // mayHaveRun reports whether any member ran or may have run.
-func mayHaveRun(states []settlement.Sight) bool {
+func mayHaveRun(states []settlement.WorkerState) bool {
 	for _, s := range states {
 		if !s.Known || s.Task.State.Ran() || s.Task.State == worker.Unknown {
 			return true
@@ -102,22 +102,22 @@
 
 // recordFailures adds failed members to the health of their workers. It returns the job's list of failures, extended
 // by these workers.
-func (c *Keeper) recordFailures(j *Entry, states []settlement.Sight) []string {
+func (c *Controller) recordFailures(j *CachedJob, states []settlement.WorkerState) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := j.Failures
 	for i, s := range states {
 		if s.Known && s.Task.State == worker.Failed {
 			c.failuresLoaded[j.Key()] = true
-			c.health.Failed(j.Seats[i].Worker, j.Key(), time.Now())
-			list = append(list[:len(list):len(list)], j.Seats[i].Worker)
+			c.health.RecordFailure(j.Placements[i].Worker, j.Key(), time.Now())
+			list = append(list[:len(list):len(list)], j.Placements[i].Worker)
 		}
 	}
 	return list
 }
 
 // finish settles a job whose attempt has ended.
-func (c *Keeper) finish(ctx context.Context, j *Entry, states []settlement.Sight, outcome request.Outcome) {
+func (c *Controller) finish(ctx context.Context, j *CachedJob, states []settlement.WorkerState, outcome request.Outcome) {
 	var answer json.RawMessage
 	if outcome == request.Done {
 		answer = settlement.Answers(states)
@@ -143,13 +143,13 @@
 
 // mayStillReport reports whether an unreachable worker may still report how the attempt ended there, once it is
 // back.
-func (c *Keeper) mayStillReport(j *Entry, states []settlement.Sight) bool {
-	unreachable := func(s settlement.Sight) bool { return s.Expired && !s.Traceless }
+func (c *Controller) mayStillReport(j *CachedJob, states []settlement.WorkerState) bool {
+	unreachable := func(s settlement.WorkerState) bool { return s.Expired && !s.NoTrace }
 	return slices.ContainsFunc(states, unreachable) && time.Since(j.StopSeen) < unsettledRetention
 }
 
 // describeStates describes the state of an attempt at each of its workers, for the timeline.
-func describeStates(j *Entry, states []settlement.Sight) string {
+func describeStates(j *CachedJob, states []settlement.WorkerState) string {
 	text := ""
 	for i, s := range states {
 		state := string(s.Task.State)
@@ -161,21 +161,21 @@
 		case !s.Known:
 			state = "not heard lately"
 		}
-		text += j.Seats[i].Worker + " " + state + "; "
+		text += j.Placements[i].Worker + " " + state + "; "
 	}
 	return text
 }
 
 // recordRunTime adds the run time of a finished job to the estimates.
-func (c *Keeper) recordRunTime(j *Entry, states []settlement.Sight) {
+func (c *Controller) recordRunTime(j *CachedJob, states []settlement.WorkerState) {
 	longest := 0.0
 	for _, s := range states {
 		longest = max(longest, s.Task.RanSeconds)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, placement := range j.Seats {
-		c.health.Succeeded(placement.Worker, j.Key())
+	for _, placement := range j.Placements {
+		c.health.RecordSuccess(placement.Worker, j.Key())
 	}
 	c.estimates.Observe(j.Submission.Workspace, j.Submission.Kind, j.Submission.DeclaredSeconds, j.Done+longest)
 }
@@ -190,40 +190,40 @@
 
 // settle commits a job's outcome and tells the box where its caller waits. It deletes the job's row, or replaces it
 // by r.remainingRow.
-func (c *Keeper) settle(ctx context.Context, j *Entry, r result) {
+func (c *Controller) settle(ctx context.Context, j *CachedJob, r result) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	reply, revision, err := c.trySettle(ctx, j, r)
 	if err != nil {
 		c.Log.Debug("hall: unable to commit a settlement; retrying in a later pass: "+err.Error(), c.jobField(j))
-		c.Stale()
+		c.MarkStale()
 		interval.Sleep(ctx, settleRetryPause/2+rand.N(settleRetryPause))
 		return
 	}
 	if r.remainingRow != nil {
-		c.Book.Put(*r.remainingRow, revision) // Its version keeps finishSettlement from dropping it.
+		c.Rows.Put(*r.remainingRow, revision) // Its version keeps finishSettlement from dropping it.
 	}
 	c.finishSettlement(j, revision, reply)
 }
 
 // finishSettlement records a committed settlement and tells the box where the caller waits.
-func (c *Keeper) finishSettlement(j *Entry, revision int64, reply request.Reply) {
-	c.Book.Drop(j.Key(), revision)
+func (c *Controller) finishSettlement(j *CachedJob, revision int64, reply request.Reply) {
+	c.Rows.Drop(j.Key(), revision)
 	c.mu.Lock()
 	c.health.Forget(j.Key())
 	c.mu.Unlock()
 	c.recordEvent(j.Key(), j.Attempt, "settled: "+string(reply.Outcome))
-	c.Settled(j.Box, link.Settled{Identity: j.Identity, Reply: reply, Round: j.Round})
+	c.NotifySettled(j.Box, link.Settled{Identity: j.Identity, Reply: reply, Round: j.Round})
 }
 
-func (c *Keeper) trySettle(ctx context.Context, j *Entry, r result) (request.Reply, int64, error) {
+func (c *Controller) trySettle(ctx context.Context, j *CachedJob, r result) (request.Reply, int64, error) {
 	requestKey := settlement.RequestKey(j.Identity)
 	jobKey := settlement.JobKey(c.Hall, j.Identity)
-	rows, err := c.Book.Table.Read(ctx, []string{requestKey})
+	rows, err := c.Rows.Table.Read(ctx, []string{requestKey})
 	if err != nil {
 		return request.Reply{}, 0, errors.Wrap(err, "hall: unable to read a request")
 	}
-	job := table.Drop(jobKey)
+	job := table.Delete(jobKey)
 	if r.remainingRow != nil {
 		job = table.Put(jobKey, *r.remainingRow)
 	}
@@ -251,7 +251,7 @@
 }
 
 // storeLarge moves an answer that is too large for a row to the object store.
-func (c *Keeper) storeLarge(ctx context.Context, r *settlement.Record) error {
+func (c *Controller) storeLarge(ctx context.Context, r *settlement.Record) error {
 	key, err := object.PutLarge(ctx, c.Objects, r.Identity.String(), r.Answer, c.Settings.Limits.AnswerInlineBytes)
 	if key != "" && err == nil {
 		r.Answer, r.AnswerObject = nil, key
@@ -266,13 +266,13 @@
 )
 
 // move moves waiting jobs to halls that have free capacity for them.
-func (c *Keeper) move(ctx context.Context, v *decider.View, loads []link.Load, waits []decider.Wait) {
+func (c *Controller) move(ctx context.Context, v *decider.View, loads []link.Load, waits []decider.Wait) {
 	moved := 0
 	for _, w := range waits {
 		if moved == movesPerPass {
 			return
 		}
-		j := c.Book.Job(v.Waiting[w.Job].Key)
+		j := c.Rows.Job(v.Waiting[w.Job].Key)
 		if j == nil || j.State != settlement.Waiting || v.Now.Sub(j.Received) < moveDelay*time.Duration(j.Moves+1) {
 			continue
 		}
@@ -285,28 +285,28 @@
 
 // hallWithCapacity returns a hall with free capacity for a job and subtracts the job from that hall's load. It
 // returns "" if there is none.
-func (c *Keeper) hallWithCapacity(loads []link.Load, j *Entry) string {
+func (c *Controller) hallWithCapacity(loads []link.Load, j *CachedJob) string {
 	need := j.Submission.Gang * j.Submission.Shape.Accelerators
 	for i := range loads {
 		l := &loads[i]
-		room := l.Largest
+		room := l.LargestFree
 		if j.Submission.AtMostOnce && !j.Submission.Checkpoints {
-			room = max(l.Firm, l.PledgeFree[j.Submission.Workspace])
+			room = max(l.LargestUnreserved, l.PledgeFree[j.Submission.Workspace])
 		}
 		if l.Hall == c.Hall || l.Waiting > 0 || room < need || need == 0 {
 			continue
 		}
-		l.Largest, l.Firm = l.Largest-need, l.Firm-need
+		l.LargestFree, l.LargestUnreserved = l.LargestFree-need, l.LargestUnreserved-need
 		return l.Hall
 	}
 	return ""
 }
 
-func (c *Keeper) moveTo(ctx context.Context, j *Entry, to string) {
+func (c *Controller) moveTo(ctx context.Context, j *CachedJob, to string) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	requestKey := settlement.RequestKey(j.Identity)
-	rows, err := c.Book.Table.Read(ctx, []string{requestKey})
+	rows, err := c.Rows.Table.Read(ctx, []string{requestKey})
 	if err != nil {
 		return
 	}
@@ -321,13 +321,13 @@
 	revision, err := c.Committer.Do(ctx, table.Op{
 		Priority: table.Start,
 		Checks:   []table.Check{{Key: from, Version: j.Version}, {Key: target}, {Key: requestKey, Version: rows[0].Version}},
-		Writes:   []table.Write{table.Drop(from), table.Put(target, next), table.Put(requestKey, record)},
+		Writes:   []table.Write{table.Delete(from), table.Put(target, next), table.Put(requestKey, record)},
 	})
 	if err != nil {
-		c.Stale()
+		c.MarkStale()
 		return
 	}
-	c.Book.Drop(j.Key(), revision)
+	c.Rows.Drop(j.Key(), revision)
 	c.recordEvent(j.Key(), "", "moved to "+to)
-	c.News(settlement.HallPrefix(to))
+	c.NotifyChanged(settlement.HallPrefix(to))
 }
--- a/internal/hall/start.go
+++ b/internal/hall/start.go
@@ -19,7 +19,7 @@
 const startsPerCommit = 64
 
 // startInRack starts gangs in one rack: it holds their devices, commits their rows together, and then starts them.
-func (c *Keeper) startInRack(ctx context.Context, rack string, list []*pendingStart) {
+func (c *Controller) startInRack(ctx context.Context, rack string, list []*pendingStart) {
 	defer c.releaseRack(rack)
 	if len(list) > startsPerCommit {
 		for _, p := range list[startsPerCommit:] {
@@ -38,9 +38,9 @@
 		c.handleCommitError(ready, err)
 		return
 	}
-	c.Book.PutRack(rack, revision)
+	c.Rows.PutRack(rack, revision)
 	for _, p := range ready {
-		c.Book.Put(p.next, revision)
+		c.Rows.Put(p.next, revision)
 		c.recordEvent(p.job.Key(), p.attempt, "committed: "+p.reason.String())
 		go func() {
 			defer c.Wake()
@@ -50,7 +50,7 @@
 	}
 }
 
-func (c *Keeper) releaseRack(rack string) {
+func (c *Controller) releaseRack(rack string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.busyRacks, rack)
@@ -59,7 +59,7 @@
 
 // handleCommitError releases the held devices after a failed commit. If the outcome of the commit is unknown, it
 // releases nothing: the next refresh shows whether the attempts start, and if they don't, the holds expire.
-func (c *Keeper) handleCommitError(held []*pendingStart, err error) {
+func (c *Controller) handleCommitError(held []*pendingStart, err error) {
 	c.Log.Debug("hall: unable to commit starts; the jobs wait for a later pass: " + err.Error())
 	for _, p := range held {
 		if !errors.Is(err, table.ErrUnknown) {
@@ -67,11 +67,11 @@
 		}
 		c.endStep(p.job.Key(), pauseAfterFailedHold)
 	}
-	c.Stale()
+	c.MarkStale()
 }
 
 // holdAll holds the devices of all starts and returns the starts that got all of theirs.
-func (c *Keeper) holdAll(ctx context.Context, list []*pendingStart) []*pendingStart {
+func (c *Controller) holdAll(ctx context.Context, list []*pendingStart) []*pendingStart {
 	var group sync.WaitGroup
 	ok := make([]bool, len(list))
 	for i, p := range list {
@@ -91,7 +91,7 @@
 }
 
 // hold asks every worker of a start to hold its devices, and reports whether all do.
-func (c *Keeper) hold(ctx context.Context, p *pendingStart) bool {
+func (c *Controller) hold(ctx context.Context, p *pendingStart) bool {
 	var group sync.WaitGroup
 	errs := make([]error, len(p.placements))
 	workers := c.workersByName()
@@ -115,7 +115,7 @@
 	return err == nil
 }
 
-func (c *Keeper) holdCommand(p *pendingStart, placement settlement.Seat) worker.Order {
+func (c *Controller) holdCommand(p *pendingStart, placement settlement.Placement) worker.Order {
 	s := p.job.Submission
 	return worker.Order{
 		Attempt: p.attempt, Identity: p.job.Identity, Members: placement.Members, Gang: s.Gang, Number: p.job.Number + 1,
@@ -125,7 +125,7 @@
 }
 
 // release stops an attempt that may hold devices, so that they become free before the hold expires.
-func (c *Keeper) release(p *pendingStart) {
+func (c *Controller) release(p *pendingStart) {
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
 	workers := c.workersByName()
@@ -133,10 +133,10 @@
 }
 
 // commitStarts writes the rack's row and the job rows in one transaction.
-func (c *Keeper) commitStarts(ctx context.Context, rack string, held []*pendingStart) (int64, error) {
+func (c *Controller) commitStarts(ctx context.Context, rack string, held []*pendingStart) (int64, error) {
 	rackKey := settlement.RackKey(c.Hall, rack)
 	row := settlement.Rack{}
-	op := table.Op{Priority: table.Start, Checks: []table.Check{{Key: rackKey, Version: c.Book.RackVersion(rack)}}}
+	op := table.Op{Priority: table.Start, Checks: []table.Check{{Key: rackKey, Version: c.Rows.RackVersion(rack)}}}
 	for _, p := range held {
 		row.Attempts = append(row.Attempts, p.attempt)
 		key := settlement.JobKey(c.Hall, p.job.Identity)
@@ -149,16 +149,16 @@
 
 // launch arms every member of a committed attempt, and starts them once all are armed. If that fails, checkAttempts
 // decides what follows from the state of the members.
-func (c *Keeper) launch(ctx context.Context, j *settlement.Job) {
+func (c *Controller) launch(ctx context.Context, j *settlement.Job) {
 	workers := c.workersByName()
 	if !c.sendStep(ctx, workers, c.unfinished(j), worker.Arm, j.Attempt, 0) {
 		c.recordEvent(j.Identity.String(), j.Attempt, "could not be armed")
 		signal(c.renewNow)
 		return
 	}
-	if !c.sendStep(ctx, workers, j.Seats, worker.Go, j.Attempt, c.Settings.Lease.Run) {
+	if !c.sendStep(ctx, workers, j.Placements, worker.Go, j.Attempt, c.Settings.Lease.Run) {
 		// Members that got the command start within worker.BeginDelay; they must not start alone.
-		c.sendStep(ctx, workers, j.Seats, worker.Stop, j.Attempt, 0)
+		c.sendStep(ctx, workers, j.Placements, worker.Stop, j.Attempt, 0)
 		c.recordEvent(j.Identity.String(), j.Attempt, "could not be started whole")
 		signal(c.renewNow)
 		return
@@ -172,9 +172,9 @@
 // unfinished returns the placements of an attempt that are not known to have finished. If a box dies while it starts
 // a gang, a member may run alone and finish before the next box arms the others. Finished members can't be armed
 // again, and a gang that waited for that was never settled.
-func (c *Keeper) unfinished(j *settlement.Job) []settlement.Seat {
-	var list []settlement.Seat
-	for _, placement := range j.Seats {
+func (c *Controller) unfinished(j *settlement.Job) []settlement.Placement {
+	var list []settlement.Placement
+	for _, placement := range j.Placements {
 		if c.monitor.task(placement.Worker, j.Attempt).State != worker.Finished {
 			list = append(list, placement)
 		}
@@ -184,7 +184,7 @@
 
 // sendStep sends a command to all workers of an attempt in parallel, records their answers, and reports whether all
 // succeeded.
-func (c *Keeper) sendStep(ctx context.Context, workers map[string]contract.Worker, placements []settlement.Seat, verb worker.Verb, attempt string, lease time.Duration) bool {
+func (c *Controller) sendStep(ctx context.Context, workers map[string]contract.Worker, placements []settlement.Placement, verb worker.Verb, attempt string, lease time.Duration) bool {
 	var group sync.WaitGroup
 	errs := make([]error, len(placements))
 	for i, placement := range placements {
--- a/internal/hall/view.go
+++ b/internal/hall/view.go
@@ -15,10 +15,10 @@
 
 // pendingStart is a start in progress. Its devices are taken, although no row names them yet.
 type pendingStart struct {
-	job        *Entry
+	job        *CachedJob
 	rack       string
 	attempt    string
-	placements []settlement.Seat
+	placements []settlement.Placement
 	reason     *decider.Reason
 	next       settlement.Job // The job's row as it will be committed.
 }
@@ -31,20 +31,20 @@
 }
 
 // buildView returns the decider's view of the hall. The caller holds c.mu.
-func (c *Keeper) buildView(site *contract.Site, orders config.Orders, loads []link.Load, now time.Time) *decider.View {
+func (c *Controller) buildView(site *contract.Site, orders config.Orders, loads []link.Load, now time.Time) *decider.View {
 	v := &decider.View{
-		Now: now, Site: site, Claims: orders.Claimed(now), Estimates: &c.estimates,
-		SetAsides: c.reservedRacks, UsedBefore: usedElsewhere(c.Hall, loads),
+		Now: now, Site: site, Reclaiming: orders.Claimed(now), Estimates: &c.estimates,
+		RackReservations: c.reservedRacks, UsedBefore: usedElsewhere(c.Hall, loads),
 	}
 	index := c.addWorkers(v, orders)
 	v.Layout = c.layoutFor(site, v)
 	c.sampleWorkers(now)
 	suspect := c.nextSuspect(now)
-	for _, j := range c.Book.Jobs() {
+	for _, j := range c.Rows.Jobs() {
 		if j.Unsettled {
 			continue
 		}
-		if j.State == settlement.Waiting && j.Losses > 0 && j.Losses < decider.LossesToGiveUp && j.Key() != suspect && c.pendingStarts[j.Key()] == nil {
+		if j.State == settlement.Waiting && j.Losses > 0 && j.Losses < decider.MaxWorkerLosses && j.Key() != suspect && c.pendingStarts[j.Key()] == nil {
 			continue // Jobs with losses start one at a time.
 		}
 		c.addJob(v, j, index)
@@ -53,7 +53,7 @@
 }
 
 // addWorkers adds the racks and workers to the view, and returns the index of each worker by name.
-func (c *Keeper) addWorkers(v *decider.View, orders config.Orders) map[string]int {
+func (c *Controller) addWorkers(v *decider.View, orders config.Orders) map[string]int {
 	index := map[string]int{}
 	h, _ := v.Site.Hall(c.Hall)
 	hallDrained := orders.Drained("hall", c.Hall)
@@ -74,7 +74,7 @@
 
 // layoutFor returns the plan of reserved capacity without unusable workers. It uses the cached plan if nothing
 // changed.
-func (c *Keeper) layoutFor(site *contract.Site, v *decider.View) pledge.Layout {
+func (c *Controller) layoutFor(site *contract.Site, v *decider.View) pledge.Layout {
 	failed := map[string]bool{}
 	var names []string
 	for _, w := range v.Workers {
@@ -87,9 +87,9 @@
 	if c.layoutCache.layout != nil && c.layoutCache.version == site.Version && c.layoutCache.failed == id {
 		return c.layoutCache.layout
 	}
-	var condition *pledge.Condition
+	var condition *pledge.Constraints
 	if len(failed) > 0 {
-		condition = &pledge.Condition{Failed: failed}
+		condition = &pledge.Constraints{Failed: failed}
 	}
 	// Guarantees that don't fit while workers are unusable wait for them.
 	layout, _ := pledge.Plan(site, condition)
@@ -97,7 +97,7 @@
 	return layout
 }
 
-func (c *Keeper) addJob(v *decider.View, j *Entry, index map[string]int) {
+func (c *Controller) addJob(v *decider.View, j *CachedJob, index map[string]int) {
 	job := c.deciderJob(j)
 	if p := c.pendingStarts[job.Key]; p != nil && j.State == settlement.Waiting {
 		v.Running = append(v.Running, decider.Running{Job: job, Members: members(p.placements, index), Started: v.Now})
@@ -105,7 +105,7 @@
 	}
 	if j.State != settlement.Waiting {
 		v.Running = append(v.Running, decider.Running{
-			Job: job, Members: members(j.Seats, index), Started: j.Started, Stopping: j.State == settlement.Stopping,
+			Job: job, Members: members(j.Placements, index), Started: j.Started, Stopping: j.State == settlement.Stopping,
 		})
 		return
 	}
@@ -116,7 +116,7 @@
 
 // members converts placements to the decider's form. It leaves out workers that are not in the configuration any
 // more.
-func members(placements []settlement.Seat, index map[string]int) []decider.Member {
+func members(placements []settlement.Placement, index map[string]int) []decider.Member {
 	var list []decider.Member
 	for _, s := range placements {
 		if i, ok := index[s.Worker]; ok {
@@ -126,13 +126,13 @@
 	return list
 }
 
-func (c *Keeper) deciderJob(j *Entry) decider.Job {
+func (c *Controller) deciderJob(j *CachedJob) decider.Job {
 	key := j.Key()
 	if len(j.Failures) > 0 && !c.failuresLoaded[key] {
 		c.failuresLoaded[key] = true
 		// Another box recorded these failures in the row; its health records are gone.
 		for _, w := range j.Failures {
-			c.health.Failed(w, key, time.Now())
+			c.health.RecordFailure(w, key, time.Now())
 		}
 	}
 	return decider.Job{
@@ -186,8 +186,8 @@
 			firm += max(min(free[w], unreserved[w]), 0)
 		}
 		l.Free += sum
-		l.Largest = max(l.Largest, sum)
-		l.Firm = max(l.Firm, firm)
+		l.LargestFree = max(l.LargestFree, sum)
+		l.LargestUnreserved = max(l.LargestUnreserved, firm)
 	}
 	for _, j := range v.Waiting {
 		l.Waiting += j.Accelerators()
--- a/internal/life/life.go
+++ b/internal/incarnation/incarnation.go
@@ -1,6 +1,6 @@
-// Package life identifies the incarnations of a worker. A worker's process may restart under the same name; it
+// Package incarnation identifies the incarnations of a worker. A worker's process may restart under the same name; it
 // then has none of the runs and none of the state from before.
-package life
+package incarnation
 
 import (
 	"strconv"
@@ -41,11 +41,11 @@
 	return earlier
 }
 
-// Is reports whether l and o are the same incarnation, or may be because a start time was not reported.
-func (l ID) Is(o ID) bool { return l.compare(o) == same }
+// Matches reports whether l and o are the same incarnation, or may be because a start time was not reported.
+func (l ID) Matches(o ID) bool { return l.compare(o) == same }
 
-// Follows reports whether l is a later incarnation of the same worker, so that o no longer runs.
-func (l ID) Follows(o ID) bool { return l.compare(o) == later }
+// IsLaterThan reports whether l is a later incarnation of the same worker, so that o no longer runs.
+func (l ID) IsLaterThan(o ID) bool { return l.compare(o) == later }
 
 // String returns the incarnation for logs; the worker's name alone if the start time was not reported.
 func (l ID) String() string {
--- a/internal/life/life_test.go
+++ b/internal/incarnation/incarnation_test.go
@@ -1,4 +1,4 @@
-package life
+package incarnation
 
 import (
 	"testing"
@@ -22,8 +22,8 @@
 		{ID{"v", 2}, ID{"w", 1}, false, false},
 		{ID{"v", 0}, ID{"w", 0}, false, false},
 	} {
-		quicktest.Check(t, c.one.Is(c.other), quicktest.Equals, c.matches, quicktest.Commentf("%v matches %v", c.one, c.other))
-		quicktest.Check(t, c.one.Follows(c.other), quicktest.Equals, c.later, quicktest.Commentf("%v is later than %v", c.one, c.other))
+		quicktest.Check(t, c.one.Matches(c.other), quicktest.Equals, c.matches, quicktest.Commentf("%v matches %v", c.one, c.other))
+		quicktest.Check(t, c.one.IsLaterThan(c.other), quicktest.Equals, c.later, quicktest.Commentf("%v is later than %v", c.one, c.other))
 	}
 }
 
--- a/internal/intake/admission.go
+++ b/internal/intake/admission.go
@@ -11,7 +11,7 @@
 // Admission limits the number of small requests in flight in a box. From a certain load on, it also limits each
 // workspace to its share. Set Most before use.
 type Admission struct {
-	Most int // Largest number of requests in flight.
+	MaxInFlight int // Largest number of requests in flight.
 
 	mu    sync.Mutex
 	total int
@@ -29,10 +29,10 @@
 	if a.used == nil {
 		a.used = map[string]int{}
 	}
-	if a.total >= a.Most {
+	if a.total >= a.MaxInFlight {
 		return false
 	}
-	if float64(a.total) >= shareThreshold*float64(a.Most) && a.used[workspace] >= a.share(site, workspace) {
+	if float64(a.total) >= shareThreshold*float64(a.MaxInFlight) && a.used[workspace] >= a.share(site, workspace) {
 		return false
 	}
 	a.total++
@@ -55,7 +55,7 @@
 	if sum == 0 {
 		return 0
 	}
-	return max(1, int(own/sum*float64(a.Most)))
+	return max(1, int(own/sum*float64(a.MaxInFlight)))
 }
 
 // Release ends an admitted request of a workspace.
--- a/internal/intake/gang.go
+++ b/internal/intake/gang.go
@@ -15,7 +15,7 @@
 )
 
 // submitGang commits the rows of a gang and returns its outcome, or accepted if ctx ends first.
-func (in *Intake) submitGang(ctx context.Context, req Order) request.Reply {
+func (in *Intake) submitGang(ctx context.Context, req Request) request.Reply {
 	loads := in.Loads()
 	hall := in.chooseHall(req.Submission, loads)
 	if hall == "" {
@@ -35,7 +35,7 @@
 
 // accept commits the request row and the job row of a gang and returns accepted, or the reply to its caller if it
 // can't be accepted.
-func (in *Intake) accept(ctx context.Context, req Order, hall string) request.Reply {
+func (in *Intake) accept(ctx context.Context, req Request, hall string) request.Reply {
 	version, reply, blocked := in.replaceableVersion(ctx, req)
 	if blocked {
 		return reply
@@ -59,7 +59,7 @@
 	switch {
 	case err == nil:
 		in.addEvent(req.Identity, "", "accepted for "+hall)
-		in.News(settlement.HallPrefix(hall))
+		in.NotifyChange(settlement.HallPrefix(hall))
 		return request.Reply{Outcome: request.Accepted}
 	case errors.Is(err, table.ErrQueueFull):
 		return in.refuse(ctx, req, "too much waits for the table")
@@ -133,7 +133,7 @@
 		if !r.GangFits(s.Gang, s.Shape) {
 			continue
 		}
-		if !s.AtMostOnce || s.Checkpoints || layout.HoldsFirmly(r, s.Workspace, s.Gang, s.Shape) {
+		if !s.AtMostOnce || s.Checkpoints || layout.FitsUnreclaimable(r, s.Workspace, s.Gang, s.Shape) {
 			return true
 		}
 	}
@@ -177,9 +177,9 @@
 	if load.PledgeFree[s.Workspace]-sent >= need && need > 0 {
 		score -= pledgeFreeBonus
 	}
-	room := load.Largest
+	room := load.LargestFree
 	if s.AtMostOnce && !s.Checkpoints {
-		room = load.Firm
+		room = load.LargestUnreserved
 	}
 	if room-sent < need {
 		score += noRoomPenalty
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -33,23 +33,23 @@
 
 // Intake accepts the requests of one box. Set the exported fields before use.
 type Intake struct {
-	Box       string
-	Settings  *settings.Box
-	Table     table.Service
-	Committer *table.Committer
-	Objects   object.Store
-	Upstreams upstream.Service
-	Router    *upstream.Router
-	Admission *Admission
-	Config    *config.Keeper
-	Recorder  *timeline.Recorder
-	Log       *zap.Logger
-	Loads     func() []link.Load    // Returns the last known load of each hall.
-	News      func(prefix string)   // Notifies the boxes that rows with the prefix changed.
-	Alive     func(box string) bool // Reports whether a box is considered alive.
-	Sweeps    func() bool           // Reports whether this box settles requests that other boxes left pending.
-	Slept     func() time.Duration  // Returns the total time that the machine was suspended; nil if unknown.
-	Metrics   Metrics
+	Box            string
+	Settings       *settings.Box
+	Table          table.Service
+	Committer      *table.Committer
+	Objects        object.Store
+	Upstreams      upstream.Service
+	Router         *upstream.Router
+	Admission      *Admission
+	Config         *config.Keeper
+	Recorder       *timeline.Recorder
+	Log            *zap.Logger
+	Loads          func() []link.Load    // Returns the last known load of each hall.
+	NotifyChange   func(prefix string)   // Notifies the boxes that rows with the prefix changed.
+	Alive          func(box string) bool // Reports whether a box is considered alive.
+	SettlesPending func() bool           // Reports whether this box settles requests that other boxes left pending.
+	Suspended      func() time.Duration  // Returns the total time that the machine was suspended; nil if unknown.
+	Metrics        Metrics
 
 	waiters waiters
 	mu      sync.Mutex
@@ -69,8 +69,8 @@
 	Dropped func()                                      // Called for each answer of another request or attempt.
 }
 
-// Order is one submission of a request, with the identity of the request and the number of the submission.
-type Order struct {
+// Request is one submission of a request, with the identity of the request and the number of the submission.
+type Request struct {
 	request.Identity
 	Round      int // Number of the submission, from 1; a caller that got no answer submits again with the next one.
 	Received   time.Time
@@ -95,7 +95,7 @@
 }
 
 // Submit processes a request and returns its outcome, or what is known of it when ctx ends.
-func (in *Intake) Submit(ctx context.Context, req Order) request.Reply {
+func (in *Intake) Submit(ctx context.Context, req Request) request.Reply {
 	in.init()
 	began := time.Now()
 	reply := in.submit(ctx, req)
@@ -110,7 +110,7 @@
 	return reply
 }
 
-func (in *Intake) submit(ctx context.Context, req Order) request.Reply {
+func (in *Intake) submit(ctx context.Context, req Request) request.Reply {
 	if req.Round > 1 {
 		if reply, known := in.earlierReply(ctx, req); known {
 			return reply
@@ -124,7 +124,7 @@
 
 // earlierReply returns the reply to an earlier submission of the same request. It returns false if there was none, or
 // if it was not run and may be replaced.
-func (in *Intake) earlierReply(ctx context.Context, req Order) (request.Reply, bool) {
+func (in *Intake) earlierReply(ctx context.Context, req Request) (request.Reply, bool) {
 	record, _, err := in.read(ctx, req.Identity)
 	switch {
 	case errors.Is(err, ErrAbsent):
@@ -213,7 +213,7 @@
 // a later one, another box may still hold an earlier submission, so a not_run row is committed first to stop that
 // one. A repeatable small request has no row that could stop it or show that it ran, so its later submissions are
 // unresolved.
-func (in *Intake) refuse(ctx context.Context, req Order, reason string) request.Reply {
+func (in *Intake) refuse(ctx context.Context, req Request, reason string) request.Reply {
 	if req.Round <= 1 {
 		return notRun(reason)
 	}
@@ -245,7 +245,7 @@
 // replaceableVersion returns the version of the row that a new request row replaces: 0, or that of a not_run row of
 // an earlier round. If the row may not be replaced or can't be read, blocked is true and reply is the reply to the
 // caller.
-func (in *Intake) replaceableVersion(ctx context.Context, req Order) (version int64, reply request.Reply, blocked bool) {
+func (in *Intake) replaceableVersion(ctx context.Context, req Request) (version int64, reply request.Reply, blocked bool) {
 	if req.Round <= 1 {
 		return 0, request.Reply{}, false
 	}
@@ -262,7 +262,7 @@
 }
 
 // replyAfterFailedCommit returns the reply to the caller after a commit failed: after a conflict, the one in the row.
-func (in *Intake) replyAfterFailedCommit(ctx context.Context, req Order, err error) request.Reply {
+func (in *Intake) replyAfterFailedCommit(ctx context.Context, req Request, err error) request.Reply {
 	var conflict *table.Conflict
 	if !errors.As(err, &conflict) {
 		return unresolved("the table did not say whether the request was taken")
--- a/internal/intake/once.go
+++ b/internal/intake/once.go
@@ -38,21 +38,21 @@
 }
 
 // settleOnce records where a request will be sent, sends it once, and settles it.
-func (in *Intake) settleOnce(ctx context.Context, req Order) request.Reply {
+func (in *Intake) settleOnce(ctx context.Context, req Request) request.Reply {
 	u, ok := in.pick(ctx, "")
 	if !ok {
 		return in.refuse(ctx, req, "no upstream has room")
 	}
 	version, reply, blocked := in.replaceableVersion(ctx, req)
 	if blocked {
-		in.Router.Done(u.Name, true)
+		in.Router.Release(u.Name, true)
 		return reply
 	}
 	record := in.finalRecord(req, request.Accepted, 1)
 	record.Sending = &settlement.Sending{Box: in.Box, Upstream: u.Name, Attempt: attemptName(req)}
 	s, err := in.recordSending(ctx, req, record, version)
 	if err != nil {
-		in.Router.Done(u.Name, true)
+		in.Router.Release(u.Name, true)
 		switch {
 		case errors.Is(err, table.ErrQueueFull):
 			return in.refuse(ctx, req, "too much waits for the table")
@@ -66,7 +66,7 @@
 
 // sendOnce sends a recorded request. If the upstream certainly did not run it, another upstream is recorded and
 // tried, up to maxTries in all.
-func (in *Intake) sendOnce(ctx context.Context, req Order, s *sentRequest, u contract.Upstream) request.Reply {
+func (in *Intake) sendOnce(ctx context.Context, req Request, s *sentRequest, u contract.Upstream) request.Reply {
 	for try := 1; ; try++ {
 		in.addEvent(req.Identity, s.record.Sending.Attempt, "sent once to "+u.Name)
 		answer, err := in.send(ctx, u, req, s.record.Sending.Attempt)
@@ -78,7 +78,7 @@
 			return in.settleResult(ctx, s, answer, err)
 		}
 		if err := in.redirect(ctx, req, s, next); err != nil {
-			in.Router.Done(next.Name, true)
+			in.Router.Release(next.Name, true)
 			return in.replyAfterFailedCommit(ctx, req, err)
 		}
 		u = next
@@ -86,7 +86,7 @@
 }
 
 // redirect records another upstream for a request that certainly did not run.
-func (in *Intake) redirect(ctx context.Context, req Order, s *sentRequest, u contract.Upstream) error {
+func (in *Intake) redirect(ctx context.Context, req Request, s *sentRequest, u contract.Upstream) error {
 	record := s.record
 	record.Attempt++
 	record.Sending = &settlement.Sending{Box: in.Box, Upstream: u.Name, Attempt: attemptName(req)}
@@ -104,7 +104,7 @@
 }
 
 // recordSending commits the rows that must exist before an at-most-once request is sent.
-func (in *Intake) recordSending(ctx context.Context, req Order, record settlement.Record, version int64) (*sentRequest, error) {
+func (in *Intake) recordSending(ctx context.Context, req Request, record settlement.Record, version int64) (*sentRequest, error) {
 	suspendedBefore := in.suspendedTime() // Taken before the request is sent, so that its age is never underestimated.
 	requestKey, pendingKey := settlement.RequestKey(req.Identity), settlement.PendingRequestKey(req.Identity)
 	pending := settlement.PendingRequest{Identity: req.Identity, Box: in.Box, Expires: time.Now().Add(in.Settings.Limits.UpstreamTimeout + sweepMargin)}
@@ -169,7 +169,7 @@
 	case upstream.Never:
 		return in.settleRow(ctx, s, request.NotRun, nil, "it never reached the upstream"), true
 	case upstream.Lost:
-		return in.settleRow(ctx, s, request.Unresolved, nil, settlement.ReasonForgotten), true
+		return in.settleRow(ctx, s, request.Unresolved, nil, settlement.ReasonUpstreamLostRecords), true
 	}
 	return request.Reply{}, false
 }
@@ -187,10 +187,10 @@
 
 // suspendedTime returns the total time for which the machine has been suspended, or 0 if that is unknown.
 func (in *Intake) suspendedTime() time.Duration {
-	if in.Slept == nil {
+	if in.Suspended == nil {
 		return 0
 	}
-	return in.Slept()
+	return in.Suspended()
 }
 
 // settleRow commits the outcome of an at-most-once request and returns the reply to its caller. The caller gets an
@@ -213,10 +213,10 @@
 	_, err = in.Committer.Do(ctx, table.Op{
 		Priority: table.Settle,
 		Checks:   []table.Check{{Key: requestKey, Version: s.version}, {Key: pendingKey, Version: s.pendingVersion}},
-		Writes:   []table.Write{table.Put(requestKey, record), table.Drop(pendingKey)},
+		Writes:   []table.Write{table.Put(requestKey, record), table.Delete(pendingKey)},
 	})
 	if err != nil {
-		return in.replyAfterFailedCommit(ctx, Order{Identity: record.Identity}, err)
+		return in.replyAfterFailedCommit(ctx, Request{Identity: record.Identity}, err)
 	}
 	in.addEvent(record.Identity, "", "settled: "+string(outcome))
 	reply := record.Reply()
@@ -233,7 +233,7 @@
 
 // sweep settles pending at-most-once requests whose box is no longer alive or did not settle them in time.
 func (in *Intake) sweep(ctx context.Context) {
-	if !in.Sweeps() || in.Config.Site() == nil {
+	if !in.SettlesPending() || in.Config.Site() == nil {
 		return
 	}
 	rows, err := in.pendingRows(ctx)
--- a/internal/intake/once_test.go
+++ b/internal/intake/once_test.go
@@ -29,9 +29,9 @@
 	s := settings.Defaults()
 	in := &Intake{
 		Settings: &s, Table: p.Table, Committer: &table.Committer{Service: p.Table}, Upstreams: p.Executors,
-		Router: &upstream.Router{}, Admission: &Admission{Most: s.Limits.InFlight}, Config: &config.Keeper{Table: p.Table},
+		Router: &upstream.Router{}, Admission: &Admission{MaxInFlight: s.Limits.InFlight}, Config: &config.Keeper{Table: p.Table},
 		Recorder: &timeline.Recorder{}, Log: zap.NewNop(),
-		Loads: func() []link.Load { return nil }, News: func(string) {}, Sweeps: func() bool { return false },
+		Loads: func() []link.Load { return nil }, NotifyChange: func(string) {}, SettlesPending: func() bool { return false },
 	}
 	_, err = in.Config.AdoptSite(link.Document{Version: 1, Text: string(raw)})
 	qt.Assert(t, err, qt.IsNil)
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		in := newIntake(ctx, t, standin.NewPlatform(1, 0, 0, 0))
-		req := Order{Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now()}
+		req := Request{Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now()}
 		record := in.finalRecord(req, request.Accepted, 1)
 		record.Sending = &settlement.Sending{Box: "gone", Upstream: "exec-0", Attempt: "clerk/s.1"}
 		sent, err := in.recordSending(ctx, req, record, 0)
@@ -88,9 +88,9 @@
 			p := standin.NewPlatform(1, 0, 0, 0)
 			in := newIntake(ctx, t, p)
 			slept := time.Duration(0)
-			in.Slept = func() time.Duration { return slept }
+			in.Suspended = func() time.Duration { return slept }
 			in.Upstreams = slowFence{p.Executors, c.late}
-			req := Order{Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now()}
+			req := Request{Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now()}
 			record := in.finalRecord(req, request.Accepted, 1)
 			record.Sending = &settlement.Sending{Box: in.Box, Upstream: "exec-0", Attempt: "clerk/s.1"}
 			sent, err := in.recordSending(ctx, req, record, 0)
@@ -99,7 +99,7 @@
 				_, err := p.Executors.Run(ctx, contract.Upstream{Name: "exec-0"}, upstream.Call{Attempt: "clerk/s.1", Identity: req.Identity})
 				qt.Assert(t, err, qt.IsNil)
 				time.Sleep(c.replacedAfter)
-				p.Executors.Blank("exec-0")
+				p.Executors.LoseRecords("exec-0")
 			}
 			time.Sleep(c.asked - c.replacedAfter + c.suspended)
 			sent.record.Received = sent.record.Received.Add(c.suspended) // The clock does not count the suspension.
--- a/internal/intake/resubmit_test.go
+++ b/internal/intake/resubmit_test.go
@@ -24,7 +24,7 @@
 		p := standin.NewPlatform(1, 0, 0, 0)
 		in := newIntake(ctx, t, p)
 		in.Router.Update(in.Config.Site().Upstreams, func(string) bool { return false }, 1)
-		req := Order{
+		req := Request{
 			Identity: request.Identity{Caller: "clerk", ID: "s"}, Round: 1, Received: time.Now(),
 			Submission: request.Submission{Kind: "test", Workspace: "court", Payload: json.RawMessage(`{"work_ms":1}`)},
 		}
@@ -74,7 +74,7 @@
 		defer cancel()
 		p := standin.NewPlatform(1, 0, 0, 0)
 		in := newIntake(ctx, t, p)
-		req := Order{
+		req := Request{
 			Identity: request.Identity{Caller: "clerk", ID: "g"}, Round: 2, Received: time.Now(),
 			Submission: request.Submission{Kind: "test", Workspace: "court", Gang: 1, Shape: contract.Shape{CPUs: 1, Accelerators: 1}},
 		}
--- a/internal/intake/small.go
+++ b/internal/intake/small.go
@@ -38,7 +38,7 @@
 
 // submitSmall settles a small request. A second submission of the same request waits for the first and gets its
 // reply.
-func (in *Intake) submitSmall(ctx context.Context, req Order) request.Reply {
+func (in *Intake) submitSmall(ctx context.Context, req Request) request.Reply {
 	in.mu.Lock()
 	f := in.running[req.Identity]
 	if f != nil {
@@ -63,7 +63,7 @@
 	return f.reply
 }
 
-func (in *Intake) settleSmall(ctx context.Context, req Order) request.Reply {
+func (in *Intake) settleSmall(ctx context.Context, req Request) request.Reply {
 	if !in.Admission.Acquire(in.Config.Site(), req.Submission.Workspace) {
 		return in.refuse(ctx, req, "too many requests of the workspace are in flight")
 	}
@@ -82,8 +82,8 @@
 }
 
 // settleRepeatable sends a request until it is answered or the retries are used up.
-func (in *Intake) settleRepeatable(ctx context.Context, req Order) request.Reply {
-	in.Router.First()
+func (in *Intake) settleRepeatable(ctx context.Context, req Request) request.Reply {
+	in.Router.RecordFirstTry()
 	sent := false // Whether any attempt may have run.
 	last := ""
 	backoff := firstBackoff
@@ -119,7 +119,7 @@
 }
 
 func (in *Intake) mayRetry(ctx context.Context, backoff time.Duration) bool {
-	if !in.Router.Retry() {
+	if !in.Router.TakeRetry() {
 		return false
 	}
 	if in.Metrics.Retried != nil {
@@ -133,7 +133,7 @@
 func (in *Intake) pick(ctx context.Context, not string) (contract.Upstream, bool) {
 	end := time.Now().Add(pickTimeout)
 	for {
-		if u, ok := in.Router.Pick(not); ok {
+		if u, ok := in.Router.Acquire(not); ok {
 			return u, true
 		}
 		if time.Now().After(end) || !interval.Sleep(ctx, pickInterval) {
@@ -142,13 +142,13 @@
 	}
 }
 
-func attemptName(req Order) string { return fmt.Sprintf("%s.%s", req.Identity, xid.New()) }
+func attemptName(req Request) string { return fmt.Sprintf("%s.%s", req.Identity, xid.New()) }
 
 // send makes one call to an upstream that pick returned and checks that the answer belongs to the call.
-func (in *Intake) send(ctx context.Context, u contract.Upstream, req Order, attempt string) (upstream.Answer, error) {
+func (in *Intake) send(ctx context.Context, u contract.Upstream, req Request, attempt string) (upstream.Answer, error) {
 	call := upstream.Call{Attempt: attempt, Identity: req.Identity, Kind: req.Submission.Kind, Payload: req.Submission.Payload}
 	answer, err := in.Upstreams.Run(ctx, u, call)
-	in.Router.Done(u.Name, err == nil || errors.Is(err, upstream.ErrFailed))
+	in.Router.Release(u.Name, err == nil || errors.Is(err, upstream.ErrFailed))
 	if err == nil && !in.belongs(answer, call) {
 		return upstream.Answer{}, errors.New("intake: the answer belongs to another request")
 	}
@@ -166,21 +166,21 @@
 	return false
 }
 
-func (in *Intake) done(req Order, answer upstream.Answer, tries int) request.Reply {
+func (in *Intake) done(req Request, answer upstream.Answer, tries int) request.Reply {
 	record := in.finalRecord(req, request.Done, tries)
 	record.Answer = answer.Body
 	in.queueRecord(record)
 	return record.Reply()
 }
 
-func (in *Intake) failed(req Order, tries int) request.Reply {
+func (in *Intake) failed(req Request, tries int) request.Reply {
 	record := in.finalRecord(req, request.Failed, tries)
 	record.Reason = "the work failed at the upstream"
 	in.queueRecord(record)
 	return record.Reply()
 }
 
-func (in *Intake) finalRecord(req Order, outcome request.Outcome, tries int) settlement.Record {
+func (in *Intake) finalRecord(req Request, outcome request.Outcome, tries int) settlement.Record {
 	return settlement.Record{
 		Identity: req.Identity, Submission: withoutPayload(req.Submission), Round: req.Round, Received: req.Received,
 		Outcome: outcome, Attempt: tries,
--- a/internal/job/count_test.go
+++ b/internal/job/count_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"github.com/pulleyring/pulleyring/internal/life"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"pgregory.net/rapid"
 )
 
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.IntRange(1, 3).Draw(r, "tasks")
 		step := Step{Count: size, Gang: size > 1}
-		l := NewLife(&Request{ID: "j", Steps: []Step{step}, Terms: Terms{Attempts: 1000}}, nil)
+		l := NewTracker(&Request{ID: "j", Steps: []Step{step}, Terms: Terms{Attempts: 1000}}, nil)
 		fates := map[int]bool{}    // By run: whether it fails.
 		reported := map[int]bool{} // Runs reported as failed.
 		report := func(index, run int) {
@@ -23,7 +23,7 @@
 			if fates[run] {
 				outcome, reported[run] = FailedRun, true
 			}
-			l.End(Task{Job: "j", Index: index}, run, outcome, "", 1)
+			l.EndRun(Task{Job: "j", Index: index}, run, outcome, "", 1)
 		}
 		for range rapid.IntRange(1, 60).Draw(r, "events") {
 			task := l.Tasks(Group{})[0]
@@ -31,12 +31,12 @@
 			switch rapid.SampledFrom([]string{"place", "give up", "hear", "hear", "hear old", "hear old", "take over"}).Draw(r, "event") {
 			case "place":
 				if len(l.Ready(1)) > 0 {
-					l.Place(Group{}, map[int]life.ID{0: {Worker: "w"}, 1: {Worker: "w"}, 2: {Worker: "w"}})
+					l.Place(Group{}, map[int]incarnation.ID{0: {Worker: "w"}, 1: {Worker: "w"}, 2: {Worker: "w"}})
 					fates[task.Run+1] = rapid.Bool().Draw(r, "fails")
 				}
 			case "give up":
 				for i := range size {
-					l.End(Task{Job: "j", Index: i}, task.Run, Lapsed, "", 1)
+					l.EndRun(Task{Job: "j", Index: i}, task.Run, Expired, "", 1)
 				}
 			case "hear":
 				report(index, task.Run)
@@ -45,7 +45,7 @@
 			case "take over":
 				p := l.Progress
 				p.Tasks, p.GangRuns = slices.Clone(p.Tasks), slices.Clone(p.GangRuns)
-				l = NewLife(l.Request, &p)
+				l = NewTracker(l.Request, &p)
 			}
 			if counted := l.Tasks(Group{})[0].Failures; counted != len(reported) {
 				r.Fatalf("%d counted, %d failed", counted, len(reported))
@@ -70,11 +70,11 @@
 		{"none kept", nil, []int{1, 2, 3}, 3},
 		{"left behind by another job", FailedRuns{0: {2, 3, 4}, 7: {1}, -1: {1}}, []int{1, 2, 3}, 3},
 	} {
-		l := NewLife(&Request{ID: "j", Steps: []Step{{Count: 1}}, Terms: Terms{Attempts: 9}}, &Progress{
+		l := NewTracker(&Request{ID: "j", Steps: []Step{{Count: 1}}, Terms: Terms{Attempts: 9}}, &Progress{
 			State: Running, GangRuns: []int{0}, Tasks: []TaskProgress{{State: Placed, Run: 5, Failures: 2}}, FailedRuns: c.stored,
 		})
 		for _, run := range c.reported {
-			l.End(Task{Job: "j"}, run, FailedRun, "", 1)
+			l.EndRun(Task{Job: "j"}, run, FailedRun, "", 1)
 		}
 		if got := l.Progress.Tasks[0].Failures; got != c.want {
 			t.Errorf("%s: %d failures counted, want %d", c.name, got, c.want)
@@ -86,11 +86,11 @@
 // that it fits into a row even if a queue allows very many failures, and that further failures are still counted
 // once each.
 func TestFailedRunsAreBounded(t *testing.T) {
-	l := NewLife(&Request{ID: "j", Steps: []Step{{Count: 1}}, Terms: Terms{Attempts: 1 << 20}}, nil)
+	l := NewTracker(&Request{ID: "j", Steps: []Step{{Count: 1}}, Terms: Terms{Attempts: 1 << 20}}, nil)
 	for run := 1; run <= 2*maxStoredFailedRuns; run++ {
-		l.Place(Group{}, map[int]life.ID{0: {Worker: "w"}})
+		l.Place(Group{}, map[int]incarnation.ID{0: {Worker: "w"}})
 		for range 2 {
-			l.End(Task{Job: "j"}, run, FailedRun, "", 1)
+			l.EndRun(Task{Job: "j"}, run, FailedRun, "", 1)
 		}
 	}
 	if got := l.Progress.Tasks[0].Failures; got != 2*maxStoredFailedRuns {
--- a/internal/job/ends_test.go
+++ b/internal/job/ends_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"github.com/pkg/errors"
-	"github.com/pulleyring/pulleyring/internal/life"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/script"
 )
 
@@ -25,7 +25,7 @@
 
 // playedCase is the state of a test case.
 type playedCase struct {
-	tracker *Life
+	tracker *Tracker
 }
 
 func (p *playedCase) step(words []string) error {
@@ -33,9 +33,9 @@
 	case "job":
 		return p.submit(words[1:])
 	case "place":
-		workers := map[int]life.ID{}
+		workers := map[int]incarnation.ID{}
 		for i := range p.tracker.Request.Steps[0].Count {
-			workers[i] = life.ID{Worker: "w"}
+			workers[i] = incarnation.ID{Worker: "w"}
 		}
 		p.tracker.Place(Group{}, workers)
 		return nil
@@ -44,7 +44,7 @@
 	case "takeover":
 		progress := p.tracker.Progress
 		progress.Tasks, progress.GangRuns = slices.Clone(progress.Tasks), slices.Clone(progress.GangRuns)
-		p.tracker = NewLife(p.tracker.Request, &progress)
+		p.tracker = NewTracker(p.tracker.Request, &progress)
 		return nil
 	case "cancel":
 		p.tracker.Cancel(1)
@@ -80,7 +80,7 @@
 		}
 		i++
 	}
-	p.tracker = NewLife(r, nil)
+	p.tracker = NewTracker(r, nil)
 	return nil
 }
 
@@ -98,7 +98,7 @@
 		if outcome.String() != want {
 			continue
 		}
-		if changed := p.tracker.End(Task{Job: "j", Index: index}, run, outcome, "", 1); changed == unchanged {
+		if changed := p.tracker.EndRun(Task{Job: "j", Index: index}, run, outcome, "", 1); changed == unchanged {
 			return errors.Errorf("job: EndRun reported changed=%v", changed)
 		}
 		return nil
--- a/internal/job/failures.go
+++ b/internal/job/failures.go
@@ -27,7 +27,7 @@
 }
 
 // loadFailures initializes the failure counter from stored progress.
-func (l *Life) loadFailures() {
+func (l *Tracker) loadFailures() {
 	l.failures.inherited = make([]inheritedRuns, len(l.Progress.Tasks))
 	for i := range l.Progress.Tasks {
 		p := &l.Progress.Tasks[i]
@@ -53,7 +53,7 @@
 
 // loadFailedRuns loads the stored failed runs. A list longer than the task's count of failures belongs to an
 // earlier job of the same name and is discarded.
-func (l *Life) loadFailedRuns() {
+func (l *Tracker) loadFailedRuns() {
 	for index, runs := range l.Progress.FailedRuns {
 		if index < 0 || index >= len(l.Progress.Tasks) || len(runs) > l.Progress.Tasks[index].Failures {
 			delete(l.Progress.FailedRuns, index)
@@ -66,7 +66,7 @@
 }
 
 // firstTaskIndex returns the index of a group's first task in the progress.
-func (l *Life) firstTaskIndex(g Group) int {
+func (l *Tracker) firstTaskIndex(g Group) int {
 	return g.Occurrence*l.tasksPerOccurrence + l.stepOffsets[g.Step]
 }
 
@@ -102,7 +102,7 @@
 
 // countFailure counts a failed run unless it was counted before, and reports whether it counted it. A failed run
 // of a gang counts once, whichever members report it.
-func (l *Life) countFailure(t Task, run int) bool {
+func (l *Tracker) countFailure(t Task, run int) bool {
 	g := Group{t.Occurrence, t.Step}
 	if l.Request.Steps[g.Step].Lasting {
 		return false
@@ -127,7 +127,7 @@
 }
 
 // storeFailedRun adds a counted run to the progress, up to maxStoredFailedRuns.
-func (l *Life) storeFailedRun(index, run int) {
+func (l *Tracker) storeFailedRun(index, run int) {
 	if l.Progress.FailedRuns.Total() >= maxStoredFailedRuns {
 		return
 	}
--- a/internal/job/losses.go
+++ b/internal/job/losses.go
@@ -50,8 +50,8 @@
 	Times  int // Number of failed runs, or of crashed workers.
 }
 
-// Text returns the reason for the failure as shown to the caller; empty if it is not known.
-func (f *Failure) Text() string {
+// Message returns the reason for the failure as shown to the caller; empty if it is not known.
+func (f *Failure) Message() string {
 	if f == nil {
 		return ""
 	}
@@ -69,14 +69,14 @@
 }
 
 // LossesOf returns the worker losses counted for a task.
-func (l *Life) LossesOf(t Task) Losses {
+func (l *Tracker) LossesOf(t Task) Losses {
 	i, _ := l.taskIndex(t)
 	return l.Progress.Losses[i]
 }
 
-// Charge adds change, which may be negative, to the worker losses of a task, and reports whether the job has such
+// AddLosses adds change, which may be negative, to the worker losses of a task, and reports whether the job has such
 // a task.
-func (l *Life) Charge(t Task, change Losses) bool {
+func (l *Tracker) AddLosses(t Task, change Losses) bool {
 	i, ok := l.taskIndex(t)
 	if !ok {
 		return false
@@ -90,7 +90,7 @@
 }
 
 // TaskAt returns the task with an index in the progress.
-func (l *Life) TaskAt(index int) Task {
+func (l *Tracker) TaskAt(index int) Task {
 	t := Task{Job: l.Request.ID, Occurrence: index / l.tasksPerOccurrence, Index: index % l.tasksPerOccurrence}
 	for t.Step+1 < len(l.stepOffsets) && t.Index >= l.stepOffsets[t.Step+1] {
 		t.Step++
@@ -99,8 +99,8 @@
 	return t
 }
 
-// GiveUp marks the job as failed because of a task, unless it has ended, and reports whether it did.
-func (l *Life) GiveUp(t Task, reason Reason, times int, nowMS int64) bool {
+// FailJob marks the job as failed because of a task, unless it has ended, and reports whether it did.
+func (l *Tracker) FailJob(t Task, reason Reason, times int, nowMS int64) bool {
 	if l.Progress.State.Final() {
 		return false
 	}
@@ -109,7 +109,7 @@
 	return true
 }
 
-func (l *Life) setFailed(t Task, reason Reason, times int) {
+func (l *Tracker) setFailed(t Task, reason Reason, times int) {
 	l.Progress.State = Failed
 	l.Progress.Failure = &Failure{Reason: reason, Group: Group{t.Occurrence, t.Step}, Index: t.Index, Times: times}
 }
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -1,6 +1,6 @@
 package job
 
-import "github.com/pulleyring/pulleyring/internal/life"
+import "github.com/pulleyring/pulleyring/internal/incarnation"
 
 // State is the state of a job as shown to its caller.
 type State int
@@ -41,10 +41,10 @@
 type TaskProgress struct {
 	_        struct{} `cbor:",toarray"`
 	State    TaskState
-	Run      int     // Number of the last run, from 1; 0 before the first.
-	Failures int     // Number of failed runs; a gang's are counted at its first task.
-	Worker   life.ID // Worker of the last run.
-	Saved    string  // Newest saved state; a gang's is kept at its first task.
+	Run      int            // Number of the last run, from 1; 0 before the first.
+	Failures int            // Number of failed runs; a gang's are counted at its first task.
+	Worker   incarnation.ID // Worker of the last run.
+	Saved    string         // Newest saved state; a gang's is kept at its first task.
 }
 
 // Progress is the stored state of a job. It takes one row of the store, and further rows for Faults and FailedRuns
@@ -87,13 +87,13 @@
 
 // Outcomes of a run.
 const (
-	Succeeded   Outcome = iota
-	FailedRun           // It failed, by its own fault or the worker's; the only outcome that counts as a failed attempt.
-	Stopped             // It was stopped on a command.
-	Lapsed              // Its lease expired, or its worker is gone.
-	GangBroken          // Another member of the gang ended.
-	GangMissing         // The other members of the gang did not start in time.
-	NeverRan            // The start command was certainly not carried out and never will be.
+	Succeeded    Outcome = iota
+	FailedRun            // It failed, by its own fault or the worker's; the only outcome that counts as a failed attempt.
+	Stopped              // It was stopped on a command.
+	Expired              // Its lease expired, or its worker is gone.
+	GangBroken           // Another member of the gang ended.
+	GangTimedOut         // The other members of the gang did not start in time.
+	NeverRan             // The start command was certainly not carried out and never will be.
 )
 
 // String returns the outcome's name for logs.
--- a/internal/job/life.go
+++ b/internal/job/tracker.go
@@ -1,9 +1,9 @@
 package job
 
-import "github.com/pulleyring/pulleyring/internal/life"
+import "github.com/pulleyring/pulleyring/internal/incarnation"
 
-// Life holds a job and its progress. All changes of the progress go through its methods.
-type Life struct {
+// Tracker holds a job and its progress. All changes of the progress go through its methods.
+type Tracker struct {
 	Request            *Request
 	Progress           Progress
 	stepOffsets        []int // Index of each step's first task within an occurrence.
@@ -11,9 +11,9 @@
 	failures           failureCounter
 }
 
-// NewLife returns the tracker of a job. p is the stored progress, nil for a job without any.
-func NewLife(r *Request, p *Progress) *Life {
-	l := &Life{Request: r}
+// NewTracker returns the tracker of a job. p is the stored progress, nil for a job without any.
+func NewTracker(r *Request, p *Progress) *Tracker {
+	l := &Tracker{Request: r}
 	for i := range r.Steps {
 		l.stepOffsets = append(l.stepOffsets, l.tasksPerOccurrence)
 		l.tasksPerOccurrence += r.Steps[i].Count
@@ -33,7 +33,7 @@
 	Occurrence, Step int
 }
 
-func (l *Life) progressOf(t Task) *TaskProgress {
+func (l *Tracker) progressOf(t Task) *TaskProgress {
 	i, ok := l.taskIndex(t)
 	if !ok {
 		return nil
@@ -42,7 +42,7 @@
 }
 
 // taskIndex returns a task's index in the progress; false if the job has no such task.
-func (l *Life) taskIndex(t Task) (int, bool) {
+func (l *Tracker) taskIndex(t Task) (int, bool) {
 	if t.Occurrence < 0 || t.Occurrence >= l.Request.Occurrences() || t.Step < 0 || t.Step >= len(l.stepOffsets) {
 		return 0, false
 	}
@@ -53,7 +53,7 @@
 }
 
 // Task returns a copy of a task's progress; false if the job has no such task.
-func (l *Life) Task(t Task) (TaskProgress, bool) {
+func (l *Tracker) Task(t Task) (TaskProgress, bool) {
 	p := l.progressOf(t)
 	if p == nil {
 		return TaskProgress{}, false
@@ -62,18 +62,18 @@
 }
 
 // Tasks returns the progress of a group's tasks. The caller must not change it.
-func (l *Life) Tasks(g Group) []TaskProgress {
+func (l *Tracker) Tasks(g Group) []TaskProgress {
 	first := g.Occurrence*l.tasksPerOccurrence + l.stepOffsets[g.Step]
 	return l.Progress.Tasks[first : first+l.Request.Steps[g.Step].Count]
 }
 
-// Name returns the task with an index in a group.
-func (l *Life) Name(g Group, index int) Task {
+// TaskInGroup returns the task with an index in a group.
+func (l *Tracker) TaskInGroup(g Group, index int) Task {
 	return Task{l.Request.ID, g.Occurrence, g.Step, index}
 }
 
 // GroupDone reports whether all tasks of a group are finished.
-func (l *Life) GroupDone(g Group) bool {
+func (l *Tracker) GroupDone(g Group) bool {
 	for _, t := range l.Tasks(g) {
 		if t.State != Finished {
 			return false
@@ -84,7 +84,7 @@
 
 // Ready returns the groups with tasks that can start at nowMS (Unix time in milliseconds): the occurrence is due
 // and the steps that the group depends on are finished. A gang is ready only if all of its tasks are waiting.
-func (l *Life) Ready(nowMS int64) []Group {
+func (l *Tracker) Ready(nowMS int64) []Group {
 	if l.Progress.State.Final() {
 		return nil
 	}
@@ -103,7 +103,7 @@
 	return groups
 }
 
-func (l *Life) startable(g Group) bool {
+func (l *Tracker) startable(g Group) bool {
 	waiting := 0
 	tasks := l.Tasks(g)
 	for i := range tasks {
@@ -117,7 +117,7 @@
 	return waiting > 0
 }
 
-func (l *Life) dependenciesDone(g Group) bool {
+func (l *Tracker) dependenciesDone(g Group) bool {
 	for _, a := range l.Request.Steps[g.Step].After {
 		if !l.GroupDone(Group{g.Occurrence, a}) {
 			return false
@@ -128,7 +128,7 @@
 
 // NextDue returns the first time after nowMS at which an occurrence is due; 0 if there is none. Both are Unix
 // times in milliseconds.
-func (l *Life) NextDue(nowMS int64) int64 {
+func (l *Tracker) NextDue(nowMS int64) int64 {
 	if l.Request.Schedule.Times == 0 || l.Progress.State.Final() {
 		return 0
 	}
@@ -140,24 +140,24 @@
 	return 0
 }
 
-// Order is a run that was placed on a worker.
-type Order struct {
+// PlacedRun is a run that was placed on a worker.
+type PlacedRun struct {
 	Task   Task
 	Run    int
-	Worker life.ID
+	Worker incarnation.ID
 	Saved  string // Saved state to continue from; empty to start from the beginning.
 }
 
 // Place records that tasks of a group (by index) will run on workers and returns the placed runs. A gang must be
 // placed whole.
-func (l *Life) Place(g Group, workers map[int]life.ID) []Order {
+func (l *Tracker) Place(g Group, workers map[int]incarnation.ID) []PlacedRun {
 	gang := l.Request.Steps[g.Step].Gang
 	tasks := l.Tasks(g)
 	gangRun := 0
 	for i := range tasks {
 		gangRun = max(gangRun, tasks[i].Run+1)
 	}
-	var orders []Order
+	var orders []PlacedRun
 	for i := range tasks {
 		worker, ok := workers[i]
 		if !ok || tasks[i].State != Waiting {
@@ -169,7 +169,7 @@
 		if gang {
 			t.Run, saved = gangRun, tasks[0].Saved
 		}
-		orders = append(orders, Order{l.Name(g, i), t.Run, worker, saved})
+		orders = append(orders, PlacedRun{l.TaskInGroup(g, i), t.Run, worker, saved})
 	}
 	if l.Progress.State == Queued && len(orders) > 0 {
 		l.Progress.State = Running
@@ -177,8 +177,8 @@
 	return orders
 }
 
-// Save records a saved state of a task's current run and reports whether it is new.
-func (l *Life) Save(t Task, run int, saved string) bool {
+// RecordSavedState records a saved state of a task's current run and reports whether it is new.
+func (l *Tracker) RecordSavedState(t Task, run int, saved string) bool {
 	p := l.progressOf(t)
 	if p == nil || p.Run != run || saved == "" {
 		return false
@@ -193,9 +193,9 @@
 	return true
 }
 
-// End records how a run ended, whether it is the tracked run or an earlier one, and reports whether that changed
+// EndRun records how a run ended, whether it is the tracked run or an earlier one, and reports whether that changed
 // anything.
-func (l *Life) End(t Task, run int, outcome Outcome, saved string, nowMS int64) bool {
+func (l *Tracker) EndRun(t Task, run int, outcome Outcome, saved string, nowMS int64) bool {
 	p := l.progressOf(t)
 	if p == nil || run < 1 || run > p.Run {
 		return false
@@ -203,7 +203,7 @@
 	if p.Run != run || p.State != Placed {
 		return l.endUntracked(t, run, outcome, nowMS)
 	}
-	l.Save(t, run, saved)
+	l.RecordSavedState(t, run, saved)
 	g := Group{t.Occurrence, t.Step}
 	gang := l.Request.Steps[t.Step].Gang
 	switch {
@@ -223,7 +223,7 @@
 
 // endUntracked records the end of a run that is no longer tracked because it was presumed ended. A success still
 // finishes the task, and a failure still counts as an attempt. A later run remains tracked until its own end.
-func (l *Life) endUntracked(t Task, run int, outcome Outcome, nowMS int64) bool {
+func (l *Tracker) endUntracked(t Task, run int, outcome Outcome, nowMS int64) bool {
 	g := Group{t.Occurrence, t.Step}
 	if l.Progress.State.Final() || l.Request.Steps[t.Step].Lasting || l.progressOf(t).State == Finished {
 		return false
@@ -242,7 +242,7 @@
 
 // finishUntracked marks a task, or a whole gang, as finished by an untracked run. That run is recorded as the last
 // one, so that a later run found on a worker is not mistaken for the one that succeeded.
-func (l *Life) finishUntracked(g Group, index, run int) {
+func (l *Tracker) finishUntracked(g Group, index, run int) {
 	tasks := l.Tasks(g)
 	if !l.Request.Steps[g.Step].Gang {
 		tasks = tasks[index : index+1]
@@ -253,7 +253,7 @@
 }
 
 // finishGang marks all members as finished: a gang succeeds as a whole, so the success of one member is enough.
-func (l *Life) finishGang(g Group) {
+func (l *Tracker) finishGang(g Group) {
 	tasks := l.Tasks(g)
 	for i := range tasks {
 		tasks[i].State = Finished
@@ -261,7 +261,7 @@
 }
 
 // updateState completes the job if all tasks are finished, and records the time at which its state became final.
-func (l *Life) updateState(nowMS int64) {
+func (l *Tracker) updateState(nowMS int64) {
 	if l.Progress.State == Running && l.allFinished() {
 		l.Progress.State = Completed
 	}
@@ -270,7 +270,7 @@
 	}
 }
 
-func (l *Life) allFinished() bool {
+func (l *Tracker) allFinished() bool {
 	for i := range l.Progress.Tasks {
 		if l.Progress.Tasks[i].State != Finished {
 			return false
@@ -280,7 +280,7 @@
 }
 
 // Cancel cancels the job unless it has ended, and reports whether it did.
-func (l *Life) Cancel(nowMS int64) bool {
+func (l *Tracker) Cancel(nowMS int64) bool {
 	if l.Progress.State.Final() {
 		return false
 	}
@@ -290,15 +290,15 @@
 }
 
 // Running returns the placed runs whose end is not known, including those of a job that has ended.
-func (l *Life) Running() []Order {
-	var orders []Order
+func (l *Tracker) Running() []PlacedRun {
+	var orders []PlacedRun
 	for k := range l.Request.Occurrences() {
 		for s := range l.Request.Steps {
 			g := Group{k, s}
 			tasks := l.Tasks(g)
 			for i := range tasks {
 				if tasks[i].State == Placed {
-					orders = append(orders, Order{l.Name(g, i), tasks[i].Run, tasks[i].Worker, l.savedState(g, i)})
+					orders = append(orders, PlacedRun{l.TaskInGroup(g, i), tasks[i].Run, tasks[i].Worker, l.savedState(g, i)})
 				}
 			}
 		}
@@ -306,7 +306,7 @@
 	return orders
 }
 
-func (l *Life) savedState(g Group, index int) string {
+func (l *Tracker) savedState(g Group, index int) string {
 	if l.Request.Steps[g.Step].Gang {
 		index = 0
 	}
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -11,16 +11,16 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// Told is a request with all replies to its caller, in order.
-type Told struct {
+// RequestHistory is a request with all replies to its caller, in order.
+type RequestHistory struct {
 	request.Identity
 	Submission request.Submission
 	Replies    []request.Reply
 	Refused    bool // Rejected as malformed, before it became a request.
 }
 
-// Last returns the latest reply, or an empty one if there is none.
-func (t *Told) Last() request.Reply {
+// LastReply returns the latest reply, or an empty one if there is none.
+func (t *RequestHistory) LastReply() request.Reply {
 	if len(t.Replies) == 0 {
 		return request.Reply{}
 	}
@@ -28,30 +28,30 @@
 }
 
 // Settled reports whether the caller knows the final outcome.
-func (t *Told) Settled() bool { return t.Last().Outcome.Final() }
+func (t *RequestHistory) Settled() bool { return t.LastReply().Outcome.Final() }
 
 // Unknowable reports whether the caller was told that it can't be found out any more whether its at-most-once
 // request ran.
-func (t *Told) Unknowable() bool {
-	last := t.Last()
+func (t *RequestHistory) Unknowable() bool {
+	last := t.LastReply()
 	if !t.Submission.AtMostOnce || last.Outcome != request.Unresolved {
 		return false
 	}
 	if t.Submission.Gang > 0 {
-		return last.Reason == settlement.ReasonUnknowable
+		return last.Reason == settlement.ReasonWorkerLost
 	}
-	return last.Reason == settlement.ReasonForgotten
+	return last.Reason == settlement.ReasonUpstreamLostRecords
 }
 
-// Judgement counts requests, their outcomes and violated guarantees.
-type Judgement struct {
+// Report counts requests, their outcomes and violated guarantees.
+type Report struct {
 	Requests            int `json:"requests"`
 	Settled             int `json:"settled"`
 	Lost                int `json:"lost"`          // Requests with replies, but without a final outcome at the end.
 	PartialGangs        int `json:"partial_gangs"` // Attempts of which some members ran and others never did.
 	Repeated            int `json:"repeated"`      // At-most-once requests that ran more than once.
 	WrongAnswers        int `json:"misdelivered"`  // Answers that were not the complete answer to their request.
-	CutInFlight         int `json:"cut_in_flight"` // Calls that a planned stop interrupted.
+	InterruptedCalls    int `json:"cut_in_flight"` // Calls that a planned stop interrupted.
 	GuaranteesReclaimed int `json:"guarantees_reclaimed"`
 	GuaranteesRefused   int `json:"guarantees_refused"`
 	// Callers were told not_run, but the records show that the request ran.
@@ -65,28 +65,28 @@
 	Unknowable int `json:"unknowable"`
 }
 
-// Broken returns the number of violated guarantees.
-func (j *Judgement) Broken() int {
-	return j.Lost + j.PartialGangs + j.Repeated + j.WrongAnswers + j.CutInFlight + j.GuaranteesRefused + j.NotRunButRan + j.Contradicted + j.Overlapping
+// Violations returns the number of violated guarantees.
+func (j *Report) Violations() int {
+	return j.Lost + j.PartialGangs + j.Repeated + j.WrongAnswers + j.InterruptedCalls + j.GuaranteesRefused + j.NotRunButRan + j.Contradicted + j.Overlapping
 }
 
-// Line returns the counts as one line of JSON.
-func (j *Judgement) Line() string {
+// JSON returns the counts as one line of JSON.
+func (j *Report) JSON() string {
 	raw, _ := json.Marshal(j) // A struct of numbers always encodes.
 	return string(raw)
 }
 
-// Judge compares the replies to callers with the records and returns the counts.
-func Judge(histories []*Told, records standin.Records) *Judgement {
+// Evaluate compares the replies to callers with the records and returns the counts.
+func Evaluate(histories []*RequestHistory, records standin.Records) *Report {
 	ran := RunCounts(records)
-	j := &Judgement{PartialGangs: CountPartialGangs(records), Overlapping: CountOverlapping(records.Runs), Requests: len(histories)}
+	j := &Report{PartialGangs: CountPartialGangs(records), Overlapping: CountOverlapping(records.Runs), Requests: len(histories)}
 	for _, t := range histories {
 		j.add(t, ran[t.Identity])
 	}
 	return j
 }
 
-func (j *Judgement) add(t *Told, ran int) {
+func (j *Report) add(t *RequestHistory, ran int) {
 	if t.Settled() {
 		j.Settled++
 	}
@@ -107,7 +107,7 @@
 			j.WrongAnswers++
 		}
 	}
-	switch t.Last().Outcome {
+	switch t.LastReply().Outcome {
 	case request.Done:
 		j.Done++
 	case request.Failed:
@@ -131,7 +131,7 @@
 }
 
 // AnswerMatches reports whether a reply holds the complete answer to the request.
-func AnswerMatches(t *Told, r request.Reply) bool {
+func AnswerMatches(t *RequestHistory, r request.Reply) bool {
 	var parts []standin.Answer
 	if t.Submission.Gang == 0 {
 		parts = make([]standin.Answer, 1)
@@ -193,7 +193,7 @@
 	}
 	partial := 0
 	for attempt, n := range members {
-		if n < gangs[attempt] && !slices.Contains(records.Broken, attempt) {
+		if n < gangs[attempt] && !slices.Contains(records.LostBeforeBegin, attempt) {
 			partial++
 		}
 	}
--- a/internal/ledger/addresses.go
+++ b/internal/ledger/addresses.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 	"github.com/pkg/errors"
-	"github.com/pulleyring/pulleyring/internal/life"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
@@ -15,20 +15,20 @@
 // have a record.
 const tableAddresses = "addresses"
 
-// AddressRows is the number of rows over which workers are spread. When a worker joins or leaves, its row is
+// AddressRowCount is the number of rows over which workers are spread. When a worker joins or leaves, its row is
 // rewritten completely.
-const AddressRows = 64
+const AddressRowCount = 64
 
 // Addresses are the workers' addresses (IP:port) by incarnation.
-type Addresses map[life.ID]string
+type Addresses map[incarnation.ID]string
 
-// Of returns the address of an incarnation; empty if it is not known.
-func (a Addresses) Of(l life.ID) string {
+// Lookup returns the address of an incarnation; empty if it is not known.
+func (a Addresses) Lookup(l incarnation.ID) string {
 	if address, known := a[l]; known {
 		return address
 	}
 	for other, address := range a {
-		if other.Is(l) {
+		if other.Matches(l) {
 			return address
 		}
 	}
@@ -36,7 +36,7 @@
 }
 
 // AddressRow returns the number of the row that holds a worker's address.
-func AddressRow(worker string) int { return int(xxhash.Sum64String(worker) % AddressRows) }
+func AddressRow(worker string) int { return int(xxhash.Sum64String(worker) % AddressRowCount) }
 
 // Addresses reads the addresses of the workers that the last holder of the lease knew.
 func (l *Ledger) Addresses(ctx context.Context) (Addresses, error) {
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -50,8 +50,8 @@
 		quicktest.Assert(t, all["b"].AnyFaults(), quicktest.IsFalse)
 		failure, err := l.Failure(ctx, "a")
 		quicktest.Assert(t, err, quicktest.IsNil)
-		quicktest.Assert(t, failure.Text(), quicktest.Equals, "task 2 of step 0 was given up: 3 workers crashed while it ran there")
-		quicktest.Assert(t, tenure.Commit(ctx, &ledger.Batch{Forget: []ledger.Forgotten{{ID: "a", Faults: true}, {ID: "b"}}}), quicktest.IsNil)
+		quicktest.Assert(t, failure.Message(), quicktest.Equals, "task 2 of step 0 was given up: 3 workers crashed while it ran there")
+		quicktest.Assert(t, tenure.Commit(ctx, &ledger.Batch{Delete: []ledger.JobDeletion{{ID: "a", Faults: true}, {ID: "b"}}}), quicktest.IsNil)
 		failure, err = l.Failure(ctx, "a")
 		quicktest.Assert(t, err, quicktest.IsNil)
 		quicktest.Assert(t, failure, quicktest.IsNil)
@@ -72,11 +72,11 @@
 			p.Losses = map[int]job.Losses{0: {All: 1}}
 			p.FailedRuns = job.FailedRuns{0: {1}}
 			b.Progress[job.ID(fmt.Sprint(n))] = p
-			n += ledger.Rows(p)
+			n += ledger.ProgressRows(p)
 		}
-		for n := 0; n < ledger.MaxForgetRows; {
-			f := ledger.Forgotten{ID: job.ID(fmt.Sprint("old", n)), Faults: true, FailedRuns: true}
-			b.Forget = append(b.Forget, f)
+		for n := 0; n < ledger.MaxDeletedRows; {
+			f := ledger.JobDeletion{ID: job.ID(fmt.Sprint("old", n)), Faults: true, FailedRuns: true}
+			b.Delete = append(b.Delete, f)
 			n += f.Rows()
 		}
 		for n := range ledger.MaxAddressRows {
@@ -124,7 +124,7 @@
 		}
 		quicktest.Assert(t, known, quicktest.Equals, 1)
 
-		quicktest.Assert(t, tenure.Commit(ctx, &ledger.Batch{Forget: []ledger.Forgotten{ledger.ForgottenAs("a", p)}}), quicktest.IsNil)
+		quicktest.Assert(t, tenure.Commit(ctx, &ledger.Batch{Delete: []ledger.JobDeletion{ledger.DeletionOf("a", p)}}), quicktest.IsNil)
 		page, err = store.ReadAll(ctx, rows, store.Range{Table: "faults", Part: "main"})
 		quicktest.Assert(t, err, quicktest.IsNil)
 		quicktest.Assert(t, page.Rows, quicktest.HasLen, 0)
