--- a/internal/ledger/lease.go
+++ b/internal/ledger/lease.go
@@ -20,8 +20,8 @@
 	Version  int64    `cbor:"-"` // Version of the row when it was read.
 }
 
-// ErrReplaced means that another box holds the lease.
-var ErrReplaced = errors.New("ledger: replaced by another box")
+// ErrLeaseTaken means that another box holds the lease.
+var ErrLeaseTaken = errors.New("ledger: replaced by another box")
 
 // Lease reads the shard's lease; the zero value if no box ever held it.
 func (l *Ledger) Lease(ctx context.Context) (Lease, error) {
@@ -46,19 +46,19 @@
 	return lease, errors.Wrap(err, "ledger: unable to decode a lease")
 }
 
-// Tenure is a lease term: the time in which one box holds the shard's lease. Only one goroutine may commit.
-type Tenure struct {
-	Claimed time.Time // When the claim was sent; the lease was held at some time after that.
-	Quiet   time.Time // No earlier holder committed anything after this.
+// LeaseTerm is a lease term: the time in which one box holds the shard's lease. Only one goroutine may commit.
+type LeaseTerm struct {
+	ClaimedAt             time.Time // When the claim was sent; the lease was held at some time after that.
+	PredecessorQuietSince time.Time // No earlier holder committed anything after this.
 
 	ledger *Ledger
 	lease  Lease
 }
 
 // Claim takes over the lease. seen is the lease as last read, unchanged since the given time. The error is
-// ErrReplaced if another box claimed or changed it first.
-func (l *Ledger) Claim(ctx context.Context, holder string, seen Lease, since time.Time) (*Tenure, error) {
-	t := &Tenure{Claimed: time.Now(), Quiet: since, ledger: l, lease: Lease{Holder: holder, Epoch: seen.Epoch + 1, Version: seen.Version}}
+// ErrLeaseTaken if another box claimed or changed it first.
+func (l *Ledger) Claim(ctx context.Context, holder string, seen Lease, since time.Time) (*LeaseTerm, error) {
+	t := &LeaseTerm{ClaimedAt: time.Now(), PredecessorQuietSince: since, ledger: l, lease: Lease{Holder: holder, Epoch: seen.Epoch + 1, Version: seen.Version}}
 	raw, err := cbor.Marshal(t.lease)
 	if err != nil {
 		return nil, errors.Wrap(err, "ledger: unable to encode a lease")
@@ -70,38 +70,38 @@
 	})
 	var conflict *store.Conflict
 	if errors.As(err, &conflict) {
-		return nil, ErrReplaced
+		return nil, ErrLeaseTaken
 	}
 	t.lease.Version = version
 	return t, err
 }
 
 // Epoch returns the fencing token.
-func (t *Tenure) Epoch() int64 { return t.lease.Epoch }
+func (t *LeaseTerm) Epoch() int64 { return t.lease.Epoch }
 
 // Batch is a set of changes that a scheduler commits in one transaction.
 type Batch struct {
 	Progress  map[job.ID]*job.Progress
 	Summary   *Summary          // nil to leave it unchanged.
 	Addresses map[int]Addresses // Complete rows of worker addresses, by row number.
-	Forget    []Forgotten       // Jobs whose progress is deleted; their requests must be deleted before.
+	Delete    []JobDeletion     // Jobs whose progress is deleted; their requests must be deleted before.
 	Release   bool              // Release the lease.
 }
 
-// Forgotten selects the rows of a job to be deleted.
-type Forgotten struct {
+// JobDeletion selects the rows of a job to be deleted.
+type JobDeletion struct {
 	ID         job.ID
 	Faults     bool // The job has a row of faults.
 	FailedRuns bool // The job has a row of failed runs.
 }
 
-// ForgottenAs returns the deletion of a job with the given progress.
-func ForgottenAs(id job.ID, p *job.Progress) Forgotten {
-	return Forgotten{ID: id, Faults: p.AnyFaults(), FailedRuns: len(p.FailedRuns) > 0}
+// DeletionOf returns the deletion of a job with the given progress.
+func DeletionOf(id job.ID, p *job.Progress) JobDeletion {
+	return JobDeletion{ID: id, Faults: p.AnyFaults(), FailedRuns: len(p.FailedRuns) > 0}
 }
 
 // Rows returns the number of rows to be deleted.
-func (f Forgotten) Rows() int {
+func (f JobDeletion) Rows() int {
 	rows := 1
 	for _, exists := range []bool{f.Faults, f.FailedRuns} {
 		if exists {
@@ -111,27 +111,27 @@
 	return rows
 }
 
-// Rows returns the number of rows that a job's progress takes.
-func Rows(p *job.Progress) int { return ForgottenAs("", p).Rows() }
+// ProgressRows returns the number of rows that a job's progress takes.
+func ProgressRows(p *job.Progress) int { return DeletionOf("", p).Rows() }
 
 // Limits of one batch. They keep its transaction within the store's limits of 100 entries and 1 MB.
 const (
 	MaxBatchRows   = 70    // Rows of progress, faults and failed runs; the last job may exceed it by two.
-	MaxForgetRows  = 14    // Deleted rows.
+	MaxDeletedRows = 14    // Deleted rows.
 	MaxAddressRows = 8     // Rows of worker addresses.
 	MaxBatchTasks  = 15000 // Tasks in the rows of progress, at about 45 bytes each.
 )
 
 // Version returns the version of the lease row after the last commit. Rows with a higher version were written
 // later.
-func (t *Tenure) Version() int64 { return t.lease.Version }
+func (t *LeaseTerm) Version() int64 { return t.lease.Version }
 
 // Commit writes a batch if the lease is still held. If an attempt gets no answer, Commit reads the lease to find
-// out whether it took effect, and retries until ctx ends. After ErrReplaced nothing was written, and nothing will
+// out whether it took effect, and retries until ctx ends. After ErrLeaseTaken nothing was written, and nothing will
 // be. After any other error the batch may have been written. It is then safe to commit it again, complete and
 // possibly with further changes: an attempt that arrives late fails, because the one that took effect has changed
 // the version of the lease.
-func (t *Tenure) Commit(ctx context.Context, b *Batch) error {
+func (t *LeaseTerm) Commit(ctx context.Context, b *Batch) error {
 	key := t.ledger.key(tableLease, t.ledger.Shard)
 	first := t.lease.Sequence + 1
 	for {
@@ -166,7 +166,7 @@
 		}
 		sequence, own := t.adoptOwnCommit(conflict)
 		if !own {
-			return ErrReplaced
+			return ErrLeaseTaken
 		}
 		if sequence >= first {
 			return nil // An earlier attempt took effect, but its answer was lost.
@@ -177,7 +177,7 @@
 // tookEffect reports whether a commit attempt with sequence number first or higher took effect, and if so records
 // the new version of the lease. The read also shows the store client how slow the store is, so that the next
 // attempt waits long enough: every attempt takes its turn in the store's queue.
-func (t *Tenure) tookEffect(ctx context.Context, first int64) (bool, error) {
+func (t *LeaseTerm) tookEffect(ctx context.Context, first int64) (bool, error) {
 	seen, err := t.ledger.Lease(ctx)
 	if err != nil || seen.Holder != t.lease.Holder || seen.Epoch != t.lease.Epoch || seen.Sequence < first {
 		return false, err
@@ -188,7 +188,7 @@
 
 // adoptOwnCommit looks in a conflict for an earlier commit of this term whose answer was lost. If there is one, it
 // records that commit's version and returns its sequence number.
-func (t *Tenure) adoptOwnCommit(conflict *store.Conflict) (sequence int64, own bool) {
+func (t *LeaseTerm) adoptOwnCommit(conflict *store.Conflict) (sequence int64, own bool) {
 	for i := range conflict.Rows {
 		row := &conflict.Rows[i]
 		lease, err := decodeLease(row)
@@ -200,7 +200,7 @@
 	return 0, false
 }
 
-func (t *Tenure) transaction(b *Batch, lease Lease) (*store.Transaction, error) {
+func (t *LeaseTerm) transaction(b *Batch, lease Lease) (*store.Transaction, error) {
 	tx := &store.Transaction{}
 	add := func(table, name string, value any) error {
 		raw, err := cbor.Marshal(value)
@@ -233,7 +233,7 @@
 			return nil, err
 		}
 	}
-	for _, f := range b.Forget {
+	for _, f := range b.Delete {
 		tx.Deletes = append(tx.Deletes, t.ledger.key(tableProgress, string(f.ID)))
 		if f.Faults {
 			tx.Deletes = append(tx.Deletes, t.ledger.key(tableFaults, string(f.ID)))
@@ -246,7 +246,7 @@
 }
 
 // addFaults adds the rows of faults and failed runs if the job has any.
-func (t *Tenure) addFaults(id job.ID, p *job.Progress, add func(table, name string, value any) error) error {
+func (t *LeaseTerm) addFaults(id job.ID, p *job.Progress, add func(table, name string, value any) error) error {
 	if p.AnyFaults() {
 		if err := add(tableFaults, string(id), &p.Faults); err != nil {
 			return err
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -45,10 +45,10 @@
 // ErrCancelled means that the job was cancelled before its request was written. The request will not be written.
 var ErrCancelled = errors.New("ledger: cancelled before it was accepted")
 
-// ErrOther means that a job of another workspace has the same name.
-var ErrOther = errors.New("ledger: the name belongs to another workspace's job")
+// ErrNameTaken means that a job of another workspace has the same name.
+var ErrNameTaken = errors.New("ledger: the name belongs to another workspace's job")
 
-// Submit writes a request unless it is already stored. It returns ErrCancelled, ErrOther or the store's error.
+// Submit writes a request unless it is already stored. It returns ErrCancelled, ErrNameTaken or the store's error.
 func (l *Ledger) Submit(ctx context.Context, r *job.Request) error {
 	raw, err := cbor.Marshal(r)
 	if err != nil {
@@ -100,7 +100,7 @@
 
 func sameWorkspace(known, r *job.Request) error {
 	if known.Terms.Workspace != r.Terms.Workspace {
-		return ErrOther
+		return ErrNameTaken
 	}
 	return nil
 }
@@ -175,11 +175,11 @@
 
 // Change is a new request or cancellation.
 type Change struct {
-	ID        job.ID
-	Request   *job.Request // Set for a request, nil for a cancellation.
-	Cancelled bool
-	Version   int64  // Version of the row.
-	Away      string // Part that holds the row, if it is not the job's primary part.
+	ID           job.ID
+	Request      *job.Request // Set for a request, nil for a cancellation.
+	Cancelled    bool
+	Version      int64  // Version of the row.
+	FallbackPart string // Part that holds the row, if it is not the job's primary part.
 }
 
 // Changes is a list of changes in the order in which they were written. To continue, watch from Version.
@@ -227,9 +227,9 @@
 	return store.ReadAll(ctx, l.Store, store.Range{Table: tableJobs, Part: l.partOf(part)})
 }
 
-// Drop deletes the requests and cancellations of jobs that no longer have to be shown. away lists the parts
+// DeleteRequests deletes the requests and cancellations of jobs that no longer have to be shown. away lists the parts
 // besides the primary one that hold rows of a job.
-func (l *Ledger) Drop(ctx context.Context, ids []job.ID, away map[job.ID][]string) error {
+func (l *Ledger) DeleteRequests(ctx context.Context, ids []job.ID, away map[job.ID][]string) error {
 	byPart := map[string]*store.Transaction{}
 	for _, id := range ids {
 		for _, part := range append([]string{l.primaryPart(id)}, away[id]...) {
@@ -264,14 +264,14 @@
 			continue
 		}
 		if id, ok := strings.CutSuffix(row.Name, cancelSuffix); ok {
-			c.List = append(c.List, Change{ID: job.ID(id), Cancelled: true, Version: row.Version, Away: l.fallbackPart(job.ID(id), row.Part)})
+			c.List = append(c.List, Change{ID: job.ID(id), Cancelled: true, Version: row.Version, FallbackPart: l.fallbackPart(job.ID(id), row.Part)})
 			continue
 		}
 		r, err := decodeRequest(row.Value)
 		if err != nil {
 			return Changes{}, err
 		}
-		c.List = append(c.List, Change{ID: r.ID, Request: r, Version: row.Version, Away: l.fallbackPart(r.ID, row.Part)})
+		c.List = append(c.List, Change{ID: r.ID, Request: r, Version: row.Version, FallbackPart: l.fallbackPart(r.ID, row.Part)})
 	}
 	return c, nil
 }
--- a/internal/ledger/rows_test.go
+++ b/internal/ledger/rows_test.go
@@ -13,9 +13,9 @@
 	"github.com/frankban/quicktest"
 	"github.com/fxamacker/cbor/v2"
 	"github.com/pulleyring/pulleyring/internal/emulator"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
 	"github.com/pulleyring/pulleyring/internal/ledger"
-	"github.com/pulleyring/pulleyring/internal/life"
 	"github.com/pulleyring/pulleyring/internal/store"
 )
 
@@ -52,7 +52,7 @@
 	storedProgress = job.Progress{
 		State: job.Failed, EndedAt: 1700000000002, GangRuns: []int{3},
 		Tasks: []job.TaskProgress{{
-			State: job.Placed, Run: 3, Failures: 2, Worker: life.ID{Worker: "i-1", Born: 1700000000003}, Saved: "saved",
+			State: job.Placed, Run: 3, Failures: 2, Worker: incarnation.ID{Worker: "i-1", Born: 1700000000003}, Saved: "saved",
 		}},
 		Faults: job.Faults{
 			Losses: map[int]job.Losses{1: {All: 5, Counted: 4, AtOnce: 3}},
--- a/internal/ledger/size_test.go
+++ b/internal/ledger/size_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/frankban/quicktest"
 	"github.com/fxamacker/cbor/v2"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // maxRowBytes is the store's limit for the value of a row, in bytes.
@@ -19,7 +19,7 @@
 	p := &job.Progress{State: job.Running, GangRuns: make([]int, 64)}
 	for range job.MaxTasks {
 		p.Tasks = append(p.Tasks, job.TaskProgress{
-			State: job.Placed, Run: 300, Failures: 20, Worker: life.ID{Worker: "i-83f60f8f38", Born: 1792504406446}, Saved: "00000bb87a21d94b",
+			State: job.Placed, Run: 300, Failures: 20, Worker: incarnation.ID{Worker: "i-83f60f8f38", Born: 1792504406446}, Saved: "00000bb87a21d94b",
 		})
 	}
 	raw, err := cbor.Marshal(p)
@@ -38,7 +38,7 @@
 		if rows[row] == nil {
 			rows[row] = Addresses{}
 		}
-		rows[row][life.ID{Worker: worker, Born: 1792504406446}] = "10.123.45.67:12345"
+		rows[row][incarnation.ID{Worker: worker, Born: 1792504406446}] = "10.123.45.67:12345"
 	}
 	largest := 0
 	for _, addresses := range rows {
@@ -48,5 +48,5 @@
 	}
 	quicktest.Check(t, largest < maxRowBytes/2, quicktest.IsTrue, quicktest.Commentf("%d bytes", largest))
 	quicktest.Check(t, largest*MaxAddressRows < 1<<20/2, quicktest.IsTrue, quicktest.Commentf("%d bytes in a batch", largest*MaxAddressRows))
-	quicktest.Check(t, MaxBatchRows+2+MaxForgetRows+MaxAddressRows+3 <= 100, quicktest.IsTrue)
+	quicktest.Check(t, MaxBatchRows+2+MaxDeletedRows+MaxAddressRows+3 <= 100, quicktest.IsTrue)
 }
--- a/internal/link/message.go
+++ b/internal/link/message.go
@@ -19,15 +19,15 @@
 
 // Load is the load of a hall. Its preferred box sends it to the others, which use it to choose halls for new jobs.
 type Load struct {
-	Hall       string         `cbor:"1,keyasint"`
-	Capacity   int            `cbor:"2,keyasint"` // Usable accelerators.
-	Free       int            `cbor:"3,keyasint"`
-	Largest    int            `cbor:"4,keyasint"` // Free accelerators of the rack that has the most.
-	Firm       int            `cbor:"9,keyasint"` // Free unreserved accelerators of the rack that has the most.
-	Waiting    int            `cbor:"5,keyasint"` // Accelerators that waiting jobs need in total.
-	PledgeFree map[string]int `cbor:"6,keyasint"` // Unused accelerators reserved for guarantees, by workspace.
-	Used       map[string]int `cbor:"7,keyasint"` // Accelerators in use by workspace.
-	Unfinished map[string]int `cbor:"8,keyasint"` // Unfinished jobs by workspace.
+	Hall              string         `cbor:"1,keyasint"`
+	Capacity          int            `cbor:"2,keyasint"` // Usable accelerators.
+	Free              int            `cbor:"3,keyasint"`
+	LargestFree       int            `cbor:"4,keyasint"` // Free accelerators of the rack that has the most.
+	LargestUnreserved int            `cbor:"9,keyasint"` // Free unreserved accelerators of the rack that has the most.
+	Waiting           int            `cbor:"5,keyasint"` // Accelerators that waiting jobs need in total.
+	PledgeFree        map[string]int `cbor:"6,keyasint"` // Unused accelerators reserved for guarantees, by workspace.
+	Used              map[string]int `cbor:"7,keyasint"` // Accelerators in use by workspace.
+	Unfinished        map[string]int `cbor:"8,keyasint"` // Unfinished jobs by workspace.
 }
 
 // Heartbeat reports that a box is alive, the configuration that it uses, and the loads of its halls.
--- a/internal/loss/background.go
+++ b/internal/loss/background.go
@@ -49,10 +49,10 @@
 	b.lastWatch = now
 }
 
-// Expected returns how many workers are expected to be lost for other reasons than their tasks, out of one
+// ExpectedLosses returns how many workers are expected to be lost for other reasons than their tasks, out of one
 // worker observed for the given time. If the task in question has lost a worker before, that loss may be
 // among the recorded ones, so one loss is left out.
-func (b *Background) Expected(watched time.Duration, lostBefore bool) float64 {
+func (b *Background) ExpectedLosses(watched time.Duration, lostBefore bool) float64 {
 	lost := b.Lost
 	if lostBefore {
 		lost = max(0, lost-1)
@@ -63,21 +63,21 @@
 // expectedLosses returns how many workers are expected to be lost for other reasons than tasks during a run
 // that was lost with its worker; 0 if the run was young.
 func (e *lossEvent) expectedLosses(r *Run) float64 {
-	if r.Seen <= CountedWithin {
+	if r.SeenAfterStart <= AlwaysCountedWithin {
 		return 0
 	}
-	return e.backgroundBefore.Expected(r.Seen, r.Before.All > 0)
+	return e.backgroundBefore.ExpectedLosses(r.SeenAfterStart, r.LossesBefore.All > 0)
 }
 
 // Due reports whether Watch must be called again.
-func (d *Judge) Due(now time.Time) bool { return d.background.Due(now) }
+func (d *Detector) Due(now time.Time) bool { return d.background.Due(now) }
 
 // Watch records how many live workers run no suspect task. Call it when Due reports true.
-func (d *Judge) Watch(workers int, now time.Time) { d.background.Watch(workers, now) }
+func (d *Detector) Watch(workers int, now time.Time) { d.background.Watch(workers, now) }
 
 // Background returns the estimate of losses for other reasons than tasks, including the losses that are
 // still kept.
-func (d *Judge) Background() Background {
+func (d *Detector) Background() Background {
 	b := d.background
 	b.Lost += float64(d.keptBackgroundLosses)
 	return b
@@ -89,7 +89,7 @@
 }
 
 // updateBackground updates the number of background losses after a loss has changed.
-func (d *Judge) updateBackground(e *lossEvent) {
+func (d *Detector) updateBackground(e *lossEvent) {
 	isNow := e.isBackgroundLoss()
 	switch {
 	case isNow && !e.background:
--- a/internal/loss/bench_test.go
+++ b/internal/loss/bench_test.go
@@ -6,22 +6,22 @@
 	"testing"
 	"time"
 
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // BenchmarkHallsLost measures the loss of 350 workers within a second, with three runs on each.
 func BenchmarkHallsLost(b *testing.B) {
 	start := time.Unix(1000, 0)
 	for range b.N {
-		var d Judge
+		var d Detector
 		for n := range 350 {
 			w := Worker{
-				Life: life.ID{Worker: fmt.Sprint(n)}, Address: fmt.Sprint(n), Hall: Group{fmt.Sprint("hall-", n%3), 400}, Rack: Group{fmt.Sprint("rack-", n%40), 8},
-				Heard: start, Proven: true,
+				Incarnation: incarnation.ID{Worker: fmt.Sprint(n)}, Address: fmt.Sprint(n), Hall: Group{fmt.Sprint("hall-", n%3), 400}, Rack: Group{fmt.Sprint("rack-", n%40), 8},
+				LastSeen: start, EndProven: true,
 			}
 			for k := range 3 {
-				w.Runs = append(w.Runs, Run{Task: job.Task{Job: "j", Index: 3*n + k}, Seen: time.Duration(k) * 400 * time.Millisecond})
+				w.Runs = append(w.Runs, Run{Task: job.Task{Job: "j", Index: 3*n + k}, SeenAfterStart: time.Duration(k) * 400 * time.Millisecond})
 			}
 			d.Lost(w, start.Add(time.Duration(n)*3*time.Millisecond))
 		}
@@ -40,21 +40,21 @@
 	for n := range 3 * 350 {
 		begin := start.Add(time.Duration(n/350)*3*time.Second + time.Duration(n%350)*3*time.Millisecond)
 		w := Worker{
-			Life: life.ID{Worker: fmt.Sprint(n)}, Address: fmt.Sprint(n), Hall: Group{fmt.Sprint("hall-", n%3), 120}, Rack: Group{fmt.Sprint("rack-", n%40), 8},
-			Heard: begin, Proven: true,
+			Incarnation: incarnation.ID{Worker: fmt.Sprint(n)}, Address: fmt.Sprint(n), Hall: Group{fmt.Sprint("hall-", n%3), 120}, Rack: Group{fmt.Sprint("rack-", n%40), 8},
+			LastSeen: begin, EndProven: true,
 		}
 		if n%2 == 0 {
 			list = append(list, lost{w, begin.Add(5 * time.Second)})
 			continue
 		}
 		for k := range 3 {
-			w.Runs = append(w.Runs, Run{Task: job.Task{Job: "j", Index: 3*(n%350) + k}, Seen: time.Duration(k) * 400 * time.Millisecond})
+			w.Runs = append(w.Runs, Run{Task: job.Task{Job: "j", Index: 3*(n%350) + k}, SeenAfterStart: time.Duration(k) * 400 * time.Millisecond})
 		}
 		list = append(list, lost{w, begin.Add(time.Second)})
 	}
 	slices.SortStableFunc(list, func(x, y lost) int { return x.at.Compare(y.at) })
 	for range b.N {
-		var d Judge
+		var d Detector
 		for _, l := range list {
 			d.Lost(l.w, l.at)
 		}
--- a/internal/loss/blame.go
+++ b/internal/loss/blame.go
@@ -40,8 +40,8 @@
 func highestByJob(runs []*Run) map[job.ID]job.Losses {
 	highest := map[job.ID]job.Losses{}
 	for _, r := range runs {
-		if countsMore(r.Before, highest[r.Task.Job]) {
-			highest[r.Task.Job] = r.Before
+		if countsMore(r.LossesBefore, highest[r.Task.Job]) {
+			highest[r.Task.Job] = r.LossesBefore
 		}
 	}
 	return highest
--- a/internal/loss/chance_test.go
+++ b/internal/loss/chance_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/frankban/quicktest"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // simulatedSite describes workers that crash at random and the tasks that run on them. Each loss is
@@ -58,7 +58,7 @@
 type simulation struct {
 	simulatedSite
 	simulationResult
-	detector     Judge
+	detector     Detector
 	counts       map[job.Task]job.Losses // Counted losses by task.
 	starts       map[job.Task]int
 	workers      []simulatedWorker
@@ -81,7 +81,7 @@
 			break
 		}
 		if sim.TakeoverInterval > 0 && sim.now.Sub(time.Unix(1000, 0))%sim.TakeoverInterval < simulationStep {
-			sim.detector = Judge{}
+			sim.detector = Detector{}
 		}
 		if step%2 == 0 {
 			sim.detector.Watch(sim.withoutSuspect(), sim.now)
@@ -158,11 +158,11 @@
 	worker := &s.workers[i]
 	lastSeen := worker.restartAt.Add(-restartDelay)
 	w := Worker{
-		Life: life.ID{Worker: fmt.Sprint(i, "/", worker.restarts)}, Address: fmt.Sprint(i), Hall: Group{fmt.Sprint("hall-", i%3), s.Workers / 3}, Rack: Group{fmt.Sprint("rack-", i/8), 8},
-		Heard: lastSeen, Missed: lastSeen.Add(time.Second), Proven: true,
+		Incarnation: incarnation.ID{Worker: fmt.Sprint(i, "/", worker.restarts)}, Address: fmt.Sprint(i), Hall: Group{fmt.Sprint("hall-", i%3), s.Workers / 3}, Rack: Group{fmt.Sprint("rack-", i/8), 8},
+		LastSeen: lastSeen, CommandUnanswered: lastSeen.Add(time.Second), EndProven: true,
 	}
 	if worker.busy {
-		w.Runs = []Run{{Task: worker.task, Before: s.counts[worker.task], Seen: lastSeen.Sub(worker.startedAt)}}
+		w.Runs = []Run{{Task: worker.task, LossesBefore: s.counts[worker.task], SeenAfterStart: lastSeen.Sub(worker.startedAt)}}
 	}
 	for _, x := range s.detector.Lost(w, s.now) {
 		s.counts[x.Task] = s.counts[x.Task].Add(x.Change)
@@ -173,7 +173,7 @@
 func (s *simulation) restartOrReplace(worker *simulatedWorker) {
 	switch {
 	case !worker.busy:
-	case s.detector.Weigh(worker.task, s.counts[worker.task], s.now) != Guilty:
+	case s.detector.Verdict(worker.task, s.counts[worker.task], s.now) != CrashLooping:
 		s.startTask(worker)
 	case worker.runsCrashingTask():
 		s.FailedCrashing++
--- a/internal/loss/judge.go
+++ b/internal/loss/detector.go
@@ -4,13 +4,13 @@
 	"slices"
 	"time"
 
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// Judge records recent losses of workers and decides which of them count against a task. The zero value is
+// Detector records recent losses of workers and decides which of them count against a task. The zero value is
 // ready to use.
-type Judge struct {
+type Detector struct {
 	events []*lossEvent           // Recent losses, oldest first.
 	byName map[string]*lossEvent  // Last loss of each worker, by name.
 	byTask map[job.Task][]lostRun // Lost runs of each task.
@@ -68,24 +68,24 @@
 
 // Lost records the loss of a worker. It returns the changes of counted losses for the tasks that ran there
 // and for tasks of workers that were lost before.
-func (d *Judge) Lost(w Worker, now time.Time) []Charge {
+func (d *Detector) Lost(w Worker, now time.Time) []CountChange {
 	d.prune(now)
-	if e := d.find(w.Life); e != nil {
-		e.endProven = e.endProven || w.Proven
+	if e := d.find(w.Incarnation); e != nil {
+		e.endProven = e.endProven || w.EndProven
 		return nil
 	}
-	e := &lossEvent{Worker: w, at: now, endProven: w.Proven, provenAt: now.Add(Resolved), neverStarted: make([]bool, len(w.Runs)), counted: make([]job.Losses, len(w.Runs))}
+	e := &lossEvent{Worker: w, at: now, endProven: w.EndProven, provenAt: now.Add(ProvenAfter), neverStarted: make([]bool, len(w.Runs)), counted: make([]job.Losses, len(w.Runs))}
 	e.backgroundBefore = d.Background()
 	e.blamed = blamedRuns(e.Runs, e.neverStarted)
 	for i := range w.Runs {
-		e.hasSuspect = e.hasSuspect || w.Runs[i].isImmediate() || w.Runs[i].Before.All > 0
+		e.hasSuspect = e.hasSuspect || w.Runs[i].isImmediate() || w.Runs[i].LossesBefore.All > 0
 	}
 	d.add(e)
 	return d.recountSimultaneous(e)
 }
 
 // add stores a loss and updates the losses that happened at the same time.
-func (d *Judge) add(e *lossEvent) {
+func (d *Detector) add(e *lossEvent) {
 	if d.byName == nil {
 		d.byName, d.byTask = map[string]*lossEvent{}, map[job.Task][]lostRun{}
 	}
@@ -100,7 +100,7 @@
 	}
 	d.updateBackground(e)
 	d.events = append(d.events, e)
-	d.byName[e.Life.Worker] = e
+	d.byName[e.Incarnation.Worker] = e
 	for i := range e.Runs {
 		d.byTask[e.Runs[i].Task] = append(d.byTask[e.Runs[i].Task], lostRun{e, i})
 	}
@@ -122,7 +122,7 @@
 // Returned records that a worker incarnation reported as lost still runs: it was only cut off, so its tasks
 // did not crash it. It returns the changes of counted losses. A later incarnation of the worker is no such
 // sign; see Replaced.
-func (d *Judge) Returned(l life.ID) []Charge {
+func (d *Detector) Returned(l incarnation.ID) []CountChange {
 	e := d.find(l)
 	if e == nil || e.endProven {
 		return nil
@@ -138,9 +138,9 @@
 	return append(d.recountTasks(e), d.recountSimultaneous(e)...)
 }
 
-// NeverRan records that a run lost with a worker never started there, because the worker had refused it.
+// NeverStarted records that a run lost with a worker never started there, because the worker had refused it.
 // Another run on that worker may be blamed instead. It returns the changes of counted losses.
-func (d *Judge) NeverRan(l life.ID, t job.Task) []Charge {
+func (d *Detector) NeverStarted(l incarnation.ID, t job.Task) []CountChange {
 	e := d.find(l)
 	if e == nil {
 		return nil
@@ -154,16 +154,16 @@
 
 // Replaced records that a later incarnation of a worker, or another worker at the same address, has
 // started. The process before it has surely ended.
-func (d *Judge) Replaced(address string, by life.ID) {
+func (d *Detector) Replaced(address string, by incarnation.ID) {
 	for _, e := range d.events {
-		if (e.Address == address && !e.Life.Is(by) || by.Follows(e.Life)) && !e.Life.Follows(by) && !e.stillRuns {
+		if (e.Address == address && !e.Incarnation.Matches(by) || by.IsLaterThan(e.Incarnation)) && !e.Incarnation.IsLaterThan(by) && !e.stillRuns {
 			e.endProven = true
 		}
 	}
 }
 
-// Open returns the counted losses of a task that are not proven, because the workers may still run.
-func (d *Judge) Open(t job.Task, now time.Time) job.Losses {
+// Unproven returns the counted losses of a task that are not proven, because the workers may still run.
+func (d *Detector) Unproven(t job.Task, now time.Time) job.Losses {
 	var sum job.Losses
 	for _, r := range d.byTask[t] {
 		if !r.endProven && now.Before(r.provenAt) {
@@ -173,8 +173,8 @@
 	return sum
 }
 
-// Together returns the number of workers of a hall that were lost recently.
-func (d *Judge) Together(hall string, now time.Time) int {
+// RecentlyLost returns the number of workers of a hall that were lost recently.
+func (d *Detector) RecentlyLost(hall string, now time.Time) int {
 	n := 0
 	for _, e := range d.events {
 		if e.Hall.Name == hall && !e.stillRuns && now.Sub(e.at) <= SimultaneousWindow {
@@ -185,20 +185,20 @@
 }
 
 // find returns the loss of a worker incarnation, or nil if there is none or the worker has returned since.
-func (d *Judge) find(l life.ID) *lossEvent {
-	if e := d.byName[l.Worker]; e != nil && !e.stillRuns && e.Life.Is(l) {
+func (d *Detector) find(l incarnation.ID) *lossEvent {
+	if e := d.byName[l.Worker]; e != nil && !e.stillRuns && e.Incarnation.Matches(l) {
 		return e
 	}
 	return nil
 }
 
 // prune drops losses that are too old to affect any count.
-func (d *Judge) prune(now time.Time) {
+func (d *Detector) prune(now time.Time) {
 	dropped := 0
-	for ; dropped < len(d.events) && now.Sub(d.events[dropped].at) > Resolved+SimultaneousWindow; dropped++ {
+	for ; dropped < len(d.events) && now.Sub(d.events[dropped].at) > ProvenAfter+SimultaneousWindow; dropped++ {
 		e := d.events[dropped]
-		if d.byName[e.Life.Worker] == e {
-			delete(d.byName, e.Life.Worker)
+		if d.byName[e.Incarnation.Worker] == e {
+			delete(d.byName, e.Incarnation.Worker)
 		}
 		for i := range e.Runs {
 			d.dropRun(e, e.Runs[i].Task)
@@ -212,7 +212,7 @@
 }
 
 // dropRun removes the runs of a loss from the lost runs of a task.
-func (d *Judge) dropRun(e *lossEvent, t job.Task) {
+func (d *Detector) dropRun(e *lossEvent, t job.Task) {
 	left := slices.DeleteFunc(d.byTask[t], func(r lostRun) bool { return r.lossEvent == e })
 	if len(left) == 0 {
 		delete(d.byTask, t)
@@ -223,8 +223,8 @@
 
 // recountSimultaneous counts a loss again, and those that may have happened at the same time. It returns
 // the changes.
-func (d *Judge) recountSimultaneous(e *lossEvent) []Charge {
-	var changes []Charge
+func (d *Detector) recountSimultaneous(e *lossEvent) []CountChange {
+	var changes []CountChange
 	for _, o := range d.events {
 		if o == e || o.overlaps(e) {
 			changes = append(changes, d.recount(o)...)
@@ -235,7 +235,7 @@
 
 // recountTasks counts all losses again of the tasks that ran on a worker: what excuses one loss of a task
 // excuses no later one. It returns the changes.
-func (d *Judge) recountTasks(e *lossEvent) []Charge {
+func (d *Detector) recountTasks(e *lossEvent) []CountChange {
 	changes := d.recount(e)
 	for i := range e.Runs {
 		for _, o := range d.byTask[e.Runs[i].Task] {
@@ -246,11 +246,11 @@
 }
 
 // recount counts a loss again and returns the changes.
-func (d *Judge) recount(e *lossEvent) []Charge {
-	var changes []Charge
+func (d *Detector) recount(e *lossEvent) []CountChange {
+	var changes []CountChange
 	for i := range e.Runs {
 		if counted, reason := d.countedLosses(e, i); counted != e.counted[i] {
-			changes = append(changes, Charge{e.Runs[i].Task, counted.Sub(e.counted[i]), reason, e.Life, &e.Runs[i]})
+			changes = append(changes, CountChange{e.Runs[i].Task, counted.Sub(e.counted[i]), reason, e.Incarnation, &e.Runs[i]})
 			e.counted[i] = counted
 		}
 	}
@@ -258,10 +258,10 @@
 }
 
 // countedLosses returns what a loss counts against the task of run i, and why.
-func (d *Judge) countedLosses(e *lossEvent, i int) (job.Losses, Reason) {
+func (d *Detector) countedLosses(e *lossEvent, i int) (job.Losses, Reason) {
 	r := &e.Runs[i]
 	switch {
-	case e.stillRuns && StartsCount(r.Before):
+	case e.stillRuns && StartsCount(r.LossesBefore):
 		return job.Losses{All: 1}, StillRuns
 	case e.stillRuns:
 		return job.Losses{}, StillRuns
@@ -269,9 +269,9 @@
 		return job.Losses{}, NeverStarted
 	case !e.blamed[i]:
 		return job.Losses{All: 1}, OtherJobBlamed
-	case e.expectedLosses(r) > ChanceMost:
+	case e.expectedLosses(r) > MaxExpectedLosses:
 		return job.Losses{All: 1}, LikelyChance
-	case e.expectedLosses(r) > MaxExpectedLossesIfRepeated && r.Before.Counted >= minCountedLosses:
+	case e.expectedLosses(r) > MaxExpectedLossesIfRepeated && r.LossesBefore.Counted >= minCountedLosses:
 		return job.Losses{All: 1}, RepeatedChance
 	case d.isExcusedByGroup(e, r):
 		return job.Losses{All: 1}, GroupLost
@@ -288,22 +288,22 @@
 
 // overlaps reports whether the periods in which two workers were lost overlap.
 func (e *lossEvent) overlaps(o *lossEvent) bool {
-	return !e.Heard.After(o.latestTime()) && !o.Heard.After(e.latestTime())
+	return !e.LastSeen.After(o.latestTime()) && !o.LastSeen.After(e.latestTime())
 }
 
 // latestTime returns the latest time at which a worker may have been lost: when it left a command
 // unanswered, or else when the loss was reported. Without the first rule a worker that was not seen since a
 // takeover seemed to be lost together with every other worker for 14 s.
 func (e *lossEvent) latestTime() time.Time {
-	if e.Missed.After(e.Heard) {
-		return e.Missed
+	if e.CommandUnanswered.After(e.LastSeen) {
+		return e.CommandUnanswered
 	}
 	return e.at
 }
 
 // isExcusedByGroup reports whether a worker was lost with its whole hall or rack. Each such loss excuses a
 // task once: a second worker that the task loses at the same time is not excused.
-func (d *Judge) isExcusedByGroup(e *lossEvent, r *Run) bool {
+func (d *Detector) isExcusedByGroup(e *lossEvent, r *Run) bool {
 	hall, rack := e.hall.isGroupLost(), e.rack.isGroupLost()
 	if !hall && !rack {
 		return false
@@ -335,12 +335,12 @@
 // isNewGroupLoss reports whether enough workers of a group were lost together with e and not together with
 // an earlier loss of the same task. The loss of an idle worker is detected up to 5 s late, so it may
 // overlap with several losses, but it excuses only one of them.
-func (d *Judge) isNewGroupLoss(e *lossEvent, earlier []*lossEvent, group func(*lossEvent) string) bool {
+func (d *Detector) isNewGroupLoss(e *lossEvent, earlier []*lossEvent, group func(*lossEvent) string) bool {
 	if len(earlier) == 0 {
 		return true
 	}
 	n := 0
-	for i := len(d.events) - 1; i >= 0 && n < minOthersLost && !d.events[i].at.Before(e.Heard); i-- {
+	for i := len(d.events) - 1; i >= 0 && n < minOthersLost && !d.events[i].at.Before(e.LastSeen); i-- {
 		o := d.events[i]
 		if o == e || o.hasSuspect || group(o) != group(e) || !e.lostWith(o) {
 			continue
--- a/internal/loss/kept_test.go
+++ b/internal/loss/kept_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 	"pgregory.net/rapid"
 )
 
@@ -15,9 +15,9 @@
 // misses an event.
 func TestKeptCountsEqualThoseCountedAnew(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var d Judge
+		var d Detector
 		counts := map[job.Task]job.Losses{}
-		addCounts := func(changes []Charge) {
+		addCounts := func(changes []CountChange) {
 			for _, c := range changes {
 				counts[c.Task] = counts[c.Task].Add(c.Change)
 			}
@@ -26,11 +26,11 @@
 		for n := range rapid.IntRange(1, 30).Draw(r, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(r, "ms")) * time.Millisecond)
 			if n > 0 && rapid.IntRange(0, 4).Draw(r, "return") == 0 {
-				addCounts(d.Returned(life.ID{Worker: fmt.Sprint("w", rapid.IntRange(0, n-1).Draw(r, "who"))}))
+				addCounts(d.Returned(incarnation.ID{Worker: fmt.Sprint("w", rapid.IntRange(0, n-1).Draw(r, "who"))}))
 				continue
 			}
 			if n > 0 && rapid.IntRange(0, 4).Draw(r, "never") == 0 {
-				addCounts(d.NeverRan(life.ID{Worker: fmt.Sprint("w", rapid.IntRange(0, n-1).Draw(r, "who"))}, drawTask(r)))
+				addCounts(d.NeverStarted(incarnation.ID{Worker: fmt.Sprint("w", rapid.IntRange(0, n-1).Draw(r, "who"))}, drawTask(r)))
 				continue
 			}
 			addCounts(d.Lost(drawLoss(r, n, now, counts), now))
@@ -45,7 +45,7 @@
 			}
 		}
 		for task, l := range wanted {
-			if len(d.events) > 0 && now.Sub(d.events[0].at) < Resolved { // No loss has been dropped yet.
+			if len(d.events) > 0 && now.Sub(d.events[0].at) < ProvenAfter { // No loss has been dropped yet.
 				mustEqual(r, counts[task], l)
 			}
 		}
@@ -56,15 +56,15 @@
 func drawLoss(r *rapid.T, n int, now time.Time, counts map[job.Task]job.Losses) Worker {
 	pick := func(what string, most int) int { return rapid.IntRange(0, most).Draw(r, what) }
 	w := Worker{
-		Life: life.ID{Worker: fmt.Sprint("w", n)}, Address: fmt.Sprint("w", n), Heard: now.Add(-time.Duration(pick("heard", 6000)) * time.Millisecond), Proven: pick("proven", 1) == 0,
+		Incarnation: incarnation.ID{Worker: fmt.Sprint("w", n)}, Address: fmt.Sprint("w", n), LastSeen: now.Add(-time.Duration(pick("heard", 6000)) * time.Millisecond), EndProven: pick("proven", 1) == 0,
 		Hall: Group{fmt.Sprint("hall-", pick("hall", 1)), 4}, Rack: Group{fmt.Sprint("rack-", pick("rack", 2)), 4},
 	}
 	if pick("missed", 1) == 0 {
-		w.Missed = now.Add(-time.Duration(pick("ms", 6000)) * time.Millisecond)
+		w.CommandUnanswered = now.Add(-time.Duration(pick("ms", 6000)) * time.Millisecond)
 	}
 	for range pick("runs", 3) {
 		task := drawTask(r)
-		w.Runs = append(w.Runs, Run{Task: task, Before: counts[task], Seen: time.Duration(pick("seen", 1500)) * time.Millisecond})
+		w.Runs = append(w.Runs, Run{Task: task, LossesBefore: counts[task], SeenAfterStart: time.Duration(pick("seen", 1500)) * time.Millisecond})
 	}
 	return w
 }
@@ -75,7 +75,7 @@
 }
 
 // compareWithScratch counts from scratch which workers were lost at the same time as one worker.
-func compareWithScratch(r *rapid.T, d *Judge, e *lossEvent) {
+func compareWithScratch(r *rapid.T, d *Detector, e *lossEvent) {
 	if e.stillRuns {
 		return
 	}
--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -10,8 +10,8 @@
 import (
 	"time"
 
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // Limits of the losses counted against a task. The users' rule allows a task to be failed after two
@@ -26,18 +26,18 @@
 	// MaxCountedLosses is the number of counted losses at which a task is failed. With a fifth of the
 	// workers crashing three times within 8 s, no sound task lost four.
 	MaxCountedLosses = 4
-	// AloneAfter is the number of counted losses after which a task runs alone on its workers. The next
+	// ExclusiveAfter is the number of counted losses after which a task runs alone on its workers. The next
 	// loss then shows whether the task or another one crashes them, and affects no other task.
-	AloneAfter = 2
+	ExclusiveAfter = 2
 	// MaxLossesAndStarts is the number of workers lost under a task for any reason, plus the starts that
 	// count like losses, at which it is failed if at least minCountedLosses of them count.
 	MaxLossesAndStarts = 5
 	// minCountedLosses is the number of counted losses that MaxLossesAndStarts and StartsCount require.
 	minCountedLosses = 2
-	// ChanceMost is the number of workers expected to be lost for other reasons during a run, above which
+	// MaxExpectedLosses is the number of workers expected to be lost for other reasons during a run, above which
 	// its loss does not count. A task may crash its workers at any age, but a run that is long compared
 	// with the time between two losses of a worker often loses several in a row although it is sound.
-	ChanceMost = 0.5
+	MaxExpectedLosses = 0.5
 	// MaxExpectedLossesIfRepeated is the limit that replaces MaxExpectedLosses once minCountedLosses
 	// losses of the task count. Losses below it still count, so that the task is failed one worker earlier
 	// than by MaxLossesAndStarts.
@@ -45,23 +45,23 @@
 )
 
 const (
-	// AtOnceWithin is how long after a task's start a worker may be last seen for its loss to count as
+	// ImmediateWithin is how long after a task's start a worker may be last seen for its loss to count as
 	// immediate. Workers crashed 10 ms after the start, and a worker that runs well is seen again at the
 	// next poll, after 1.5 s.
-	AtOnceWithin = 500 * time.Millisecond
-	// ClearedAfter is how long after a task's start a worker must be seen to show that the task does not
+	ImmediateWithin = 500 * time.Millisecond
+	// NotImmediateAfter is how long after a task's start a worker must be seen to show that the task does not
 	// crash it immediately.
-	ClearedAfter = 4 * AtOnceWithin
-	// CountedWithin is how long after a task's start a worker may be last seen for its loss to count
+	NotImmediateAfter = 4 * ImmediateWithin
+	// AlwaysCountedWithin is how long after a task's start a worker may be last seen for its loss to count
 	// however often workers are lost for other reasons.
-	CountedWithin = 30 * time.Second
+	AlwaysCountedWithin = 30 * time.Second
 	// SimultaneousWindow is the longest time between the detection of two losses that happened at the same
 	// time. The loss of an idle worker is detected only when its record expires, about 5 s (three
 	// heartbeats of 1.5 s, and the feed) after the loss of a worker that is polled.
 	SimultaneousWindow = 8 * time.Second
-	// Resolved is how long an unreachable worker may still turn out to run. Network cuts of up to 16 s
+	// ProvenAfter is how long an unreachable worker may still turn out to run. Network cuts of up to 16 s
 	// were seen.
-	Resolved = 30 * time.Second
+	ProvenAfter = 30 * time.Second
 	// minOthersLost is the number of other workers without a suspect task that must be lost at the same
 	// time for a loss to be no task's fault.
 	minOthersLost = 3
@@ -72,15 +72,15 @@
 
 // Run is a run that was lost with its worker.
 type Run struct {
-	Task   job.Task
-	Before job.Losses    // Losses counted against its task before this one.
-	Seen   time.Duration // Time from its start until the worker was last seen.
+	Task           job.Task
+	LossesBefore   job.Losses    // Losses counted against its task before this one.
+	SeenAfterStart time.Duration // Time from its start until the worker was last seen.
 	// Adopted is set if an earlier leaseholder started the run, so that its age is unknown.
 	Adopted bool
 }
 
 // isImmediate reports whether the worker was lost right after the run's start.
-func (r *Run) isImmediate() bool { return !r.Adopted && r.Seen <= AtOnceWithin }
+func (r *Run) isImmediate() bool { return !r.Adopted && r.SeenAfterStart <= ImmediateWithin }
 
 // Group is a hall or a rack: workers that may be lost together.
 type Group struct {
@@ -91,24 +91,24 @@
 // Worker is a worker that was lost without an announced departure. It was lost after it was last seen, and before
 // it left a command unanswered. If it was sent no command, it was lost before the loss was reported.
 type Worker struct {
-	Life    life.ID // Incarnation that was lost.
-	Address string
-	Hall    Group
-	Rack    Group
-	Heard   time.Time // Time at which it was last seen.
+	Incarnation incarnation.ID // Incarnation that was lost.
+	Address     string
+	Hall        Group
+	Rack        Group
+	LastSeen    time.Time // Time at which it was last seen.
 	// Time by which it had left a command unanswered, after it was last seen; zero if it had not.
-	Missed time.Time
-	Proven bool  // Its process has surely ended; otherwise it may be cut off and still run.
-	Runs   []Run // Runs that were lost with it.
+	CommandUnanswered time.Time
+	EndProven         bool  // Its process has surely ended; otherwise it may be cut off and still run.
+	Runs              []Run // Runs that were lost with it.
 }
 
-// Charge is a change of the losses counted against a task.
-type Charge struct {
+// CountChange is a change of the losses counted against a task.
+type CountChange struct {
 	Task   job.Task
 	Change job.Losses
-	Why    Reason
-	Worker life.ID // Incarnation that was lost.
-	Run    *Run    // Run that was lost with it.
+	Reason Reason
+	Worker incarnation.ID // Incarnation that was lost.
+	Run    *Run           // Run that was lost with it.
 }
 
 // Reason says why the loss of a worker counts against a task, or why it does not.
@@ -141,20 +141,20 @@
 
 // Verdicts.
 const (
-	Free   Verdict = iota // It may start.
-	Held                  // It must not start until it is known whether unreachable workers crashed under it.
-	Guilty                // It must be failed (crash-looping).
+	MayStart     Verdict = iota // It may start.
+	OnHold                      // It must not start until it is known whether unreachable workers crashed under it.
+	CrashLooping                // It must be failed (crash-looping).
 )
 
-// Weigh returns the verdict for a task with the given counted losses.
-func (d *Judge) Weigh(t job.Task, counted job.Losses, now time.Time) Verdict {
+// Verdict returns the verdict for a task with the given counted losses.
+func (d *Detector) Verdict(t job.Task, counted job.Losses, now time.Time) Verdict {
 	switch {
 	case !isCrashLooping(counted):
-		return Free
-	case isCrashLooping(counted.Sub(d.Open(t, now))):
-		return Guilty
+		return MayStart
+	case isCrashLooping(counted.Sub(d.Unproven(t, now))):
+		return CrashLooping
 	}
-	return Held
+	return OnHold
 }
 
 // startsCountFrom is the number of workers lost under a task after which each further start counts like a
--- a/internal/loss/script_test.go
+++ b/internal/loss/script_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/frankban/quicktest"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // groupSize is the number of workers of each hall and rack in the cases before any is lost.
@@ -38,7 +38,7 @@
 
 // lossCase is the state of a running case.
 type lossCase struct {
-	detector Judge
+	detector Detector
 	start    time.Time
 	counts   map[job.Task]job.Losses // Counted losses by task.
 	lost     map[string]int          // Number of lost workers by hall and rack.
@@ -66,13 +66,13 @@
 	case "lose":
 		return c.lose(words[1:])
 	case "return":
-		c.addCounts(c.detector.Returned(life.ID{Worker: words[1]}))
+		c.addCounts(c.detector.Returned(incarnation.ID{Worker: words[1]}))
 		return nil
 	case "never":
-		c.addCounts(c.detector.NeverRan(life.ID{Worker: words[1]}, taskNamed(words[2])))
+		c.addCounts(c.detector.NeverStarted(incarnation.ID{Worker: words[1]}, taskNamed(words[2])))
 		return nil
 	case "replace":
-		c.detector.Replaced(words[1], life.ID{Worker: words[1] + "-next"})
+		c.detector.Replaced(words[1], incarnation.ID{Worker: words[1] + "-next"})
 		return nil
 	case "watch":
 		return c.watch(words[1:])
@@ -89,7 +89,7 @@
 			return err
 		}
 		task := taskNamed(words[1])
-		got := [...]string{"free", "held", "guilty"}[c.detector.Weigh(task, c.counts[task], at)]
+		got := [...]string{"free", "held", "guilty"}[c.detector.Verdict(task, c.counts[task], at)]
 		if got != words[2] {
 			return fmt.Errorf("%s", got)
 		}
@@ -116,13 +116,13 @@
 }
 
 func (c *lossCase) lose(words []string) error {
-	w := Worker{Life: life.ID{Worker: words[0]}, Address: words[0], Hall: Group{Name: "hall"}, Rack: Group{Name: "rack of " + words[0]}, Proven: true}
+	w := Worker{Incarnation: incarnation.ID{Worker: words[0]}, Address: words[0], Hall: Group{Name: "hall"}, Rack: Group{Name: "rack of " + words[0]}, EndProven: true}
 	var at, lastSeen time.Time
 	var err error
 	for i := 1; i < len(words) && err == nil; i++ {
 		switch words[i] {
 		case "silent":
-			w.Proven = false
+			w.EndProven = false
 			continue
 		case "runs":
 			w.Runs, err = c.runs(words[i+1:])
@@ -135,7 +135,7 @@
 		case "heard":
 			lastSeen, err = c.time(words[i])
 		case "missed":
-			w.Missed, err = c.time(words[i])
+			w.CommandUnanswered, err = c.time(words[i])
 		case "hall":
 			w.Hall.Name = words[i]
 		case "rack":
@@ -147,7 +147,7 @@
 	if lastSeen.IsZero() {
 		lastSeen = at.Add(-100 * time.Millisecond)
 	}
-	w.Heard = lastSeen
+	w.LastSeen = lastSeen
 	w.Hall.Size, w.Rack.Size = groupSize-c.lost[w.Hall.Name], groupSize-c.lost[w.Rack.Name]
 	c.lost[w.Hall.Name]++
 	c.lost[w.Rack.Name]++
@@ -159,20 +159,20 @@
 	var runs []Run
 	for _, word := range words {
 		name, seen, _ := strings.Cut(word, ":")
-		r := Run{Task: taskNamed(name), Before: c.counts[taskNamed(name)], Adopted: seen == "adopted"}
+		r := Run{Task: taskNamed(name), LossesBefore: c.counts[taskNamed(name)], Adopted: seen == "adopted"}
 		if !r.Adopted {
 			d, err := time.ParseDuration(seen)
 			if err != nil {
 				return nil, err
 			}
-			r.Seen = d
+			r.SeenAfterStart = d
 		}
 		runs = append(runs, r)
 	}
 	return runs, nil
 }
 
-func (c *lossCase) addCounts(changes []Charge) {
+func (c *lossCase) addCounts(changes []CountChange) {
 	for _, x := range changes {
 		c.counts[x.Task] = c.counts[x.Task].Add(x.Change)
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -16,20 +16,20 @@
 	sampleDecay = 0.015 // go-metrics' recommended value: favors the last five minutes.
 )
 
-// Figures is a set of counters, gauges and histograms by name. The zero value is empty and ready to use.
+// Metrics is a set of counters, gauges and histograms by name. The zero value is empty and ready to use.
 // The methods that record a value do nothing on a nil pointer; the methods that read need a non-nil one.
-type Figures struct {
+type Metrics struct {
 	once     sync.Once
 	registry metrics.Registry
 }
 
-func (f *Figures) init() { f.once.Do(func() { f.registry = metrics.NewRegistry() }) }
+func (f *Metrics) init() { f.once.Do(func() { f.registry = metrics.NewRegistry() }) }
 
 // Count increments the named counter by one.
-func (f *Figures) Count(name string) { f.Add(name, 1) }
+func (f *Metrics) Count(name string) { f.Add(name, 1) }
 
 // Add increments the named counter by n.
-func (f *Figures) Add(name string, n int64) {
+func (f *Metrics) Add(name string, n int64) {
 	if f == nil {
 		return
 	}
@@ -37,14 +37,14 @@
 	metrics.GetOrRegisterCounter(name, f.registry).Inc(n)
 }
 
-// Counted returns the value of the named counter, 0 if it was never incremented.
-func (f *Figures) Counted(name string) int64 {
+// CounterValue returns the value of the named counter, 0 if it was never incremented.
+func (f *Metrics) CounterValue(name string) int64 {
 	f.init()
 	return metrics.GetOrRegisterCounter(name, f.registry).Count()
 }
 
 // Set sets the named gauge to n.
-func (f *Figures) Set(name string, n int64) {
+func (f *Metrics) Set(name string, n int64) {
 	if f == nil {
 		return
 	}
@@ -52,8 +52,8 @@
 	metrics.GetOrRegisterGauge(name, f.registry).Update(n)
 }
 
-// Took adds a duration to the histogram called name+"_us", in microseconds.
-func (f *Figures) Took(name string, d time.Duration) {
+// ObserveDuration adds a duration to the histogram called name+"_us", in microseconds.
+func (f *Metrics) ObserveDuration(name string, d time.Duration) {
 	if f == nil {
 		return
 	}
@@ -64,7 +64,7 @@
 }
 
 // ServeHTTP writes all metrics as plain text, sorted by name.
-func (f *Figures) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (f *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	f.init()
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	metrics.WriteOnce(f.registry, w)
@@ -72,7 +72,7 @@
 
 // Counters returns the values of the counters whose names begin with prefix.
 // The keys are the names without the prefix.
-func (f *Figures) Counters(prefix string) map[string]int64 {
+func (f *Metrics) Counters(prefix string) map[string]int64 {
 	f.init()
 	values := map[string]int64{}
 	f.registry.Each(func(name string, metric any) {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// Own returns the entry that this box announces to others.
-func (m *Members) Own() Entry {
+// SelfEntry returns the entry that this box announces to others.
+func (m *Members) SelfEntry() Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.Self
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -92,7 +92,7 @@
 
 func TestSlowStoreAcceptsMany(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
-		w.store.SetSlow(300 * time.Millisecond)
+		w.store.SetLatency(300 * time.Millisecond)
 		time.Sleep(2 * time.Second)
 		var group sync.WaitGroup
 		failed := make([]error, 24)
@@ -111,7 +111,7 @@
 
 func TestSlowStoreStillAccepts(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
-		w.store.SetSlow(400 * time.Millisecond)
+		w.store.SetLatency(400 * time.Millisecond)
 		time.Sleep(3 * time.Second)
 		_, err := submitTimed(w, "box-1", "a")
 		quicktest.Assert(t, err, quicktest.IsNil)
@@ -159,7 +159,7 @@
 // overdue.
 func TestLostResponsesAreRetriedSoon(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
-		w.store.SetLose(0.5)
+		w.store.SetLossRate(0.5)
 		total := time.Duration(0)
 		for i := range 20 {
 			took, err := submitTimed(w, "box-1", fmt.Sprint("job", i))
@@ -175,7 +175,7 @@
 func TestSubmitAvoidsUnavailableParts(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world) {
 		for n := range 4 {
-			w.store.SetPartOut(fmt.Sprint(Shard, "/", n))
+			w.store.FailPart(fmt.Sprint(Shard, "/", n))
 		}
 		var accepted []job.ID
 		for i := range 24 {
@@ -217,8 +217,8 @@
 			quicktest.Assert(t, err, quicktest.IsNil)
 			time.Sleep(35 * time.Millisecond)
 		}
-		w.store.SetSlow(30 * time.Millisecond)
-		w.store.SetDeaf()
+		w.store.SetLatency(30 * time.Millisecond)
+		w.store.StallFeeds()
 		began := time.Now()
 		_, err := submitTimed(w, "box-1", "deaf")
 		quicktest.Assert(t, err, quicktest.IsNil)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -17,7 +17,7 @@
 func (n *Node) logCalls(ctx context.Context) {
 	for {
 		running := interval.Sleep(ctx, callsLogInterval)
-		n.log.Info("node: calls to the store", zap.Any("calls", n.Metrics.Counters(relay.PathDirect+"_")), zap.Int64("passed_on", n.Metrics.Counted("relay_passed_on")))
+		n.log.Info("node: calls to the store", zap.Any("calls", n.Metrics.Counters(relay.PathDirect+"_")), zap.Int64("passed_on", n.Metrics.CounterValue("relay_passed_on")))
 		if !running {
 			return
 		}
--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -159,8 +159,8 @@
 		next.Count, next.After = second, []int{0}
 		r.Steps = append(r.Steps, next)
 	}
-	w.fleet.Expect(r, work)
-	w.fleet.Allow(r.ID, w.attempts(words[1]))
+	w.fleet.SetWork(r, work)
+	w.fleet.SetAttempts(r.ID, w.attempts(words[1]))
 	return r, nil
 }
 
@@ -262,7 +262,7 @@
 func (w *world) weaken(name string) {
 	n := w.boxes[name].node
 	s := *n.settings.Load()
-	s.Means = Means{Cores: 0.12, MegabitsPerS: 2}
+	s.Means = Resources{Cores: 0.12, MegabitsPerS: 2}
 	n.Reload(&s)
 }
 
@@ -293,7 +293,7 @@
 	case "restart":
 		return w.fleet.Restart(id)
 	case "former":
-		w.fleet.RecordFormer(id)
+		w.fleet.RestorePreviousRecord(id)
 		return nil
 	case "end":
 		return w.fleet.End(id)
@@ -306,13 +306,13 @@
 	case "cut", "heal", "shut", "open", "hold_back", "answers":
 		return w.connectionCommand(words, id)
 	case "fail", "well":
-		return w.fleet.Fail(id, words[0] == "fail")
+		return w.fleet.FailRuns(id, words[0] == "fail")
 	case "spoil", "unspoil":
-		return w.fleet.Spoil(id, words[0] == "spoil")
+		return w.fleet.FailNewRuns(id, words[0] == "spoil")
 	case "stick", "unstick":
-		return w.fleet.Stick(id, words[0] == "stick")
+		return w.fleet.Stall(id, words[0] == "stick")
 	case "refuse", "take":
-		return w.fleet.Refuse(id, words[0] == "refuse")
+		return w.fleet.RefuseStarts(id, words[0] == "refuse")
 	case "late", "late_looks", "mute", "slow":
 		n, err := strconv.Atoi(words[2])
 		if err != nil {
@@ -324,14 +324,14 @@
 				return err
 			}
 			if words[0] == "late_looks" {
-				return w.fleet.LateLooks(id, n, by)
+				return w.fleet.DelayPolls(id, n, by)
 			}
-			return w.fleet.LateBy(id, n, by)
+			return w.fleet.DelayCommandsBy(id, n, by)
 		}
-		return map[string]func(string, int) error{"late": w.fleet.Late, "mute": w.fleet.Mute, "slow": w.fleet.Slow}[words[0]](id, n)
+		return map[string]func(string, int) error{"late": w.fleet.DelayCommands, "mute": w.fleet.DropAnswers, "slow": w.fleet.Slow}[words[0]](id, n)
 	case "drain", "leave_unsaid":
 		d, err := time.ParseDuration(words[2])
-		map[string]func(string, time.Duration){"drain": w.fleet.Drain, "leave_unsaid": w.fleet.LeaveUnsaid}[words[0]](id, d)
+		map[string]func(string, time.Duration){"drain": w.fleet.Drain, "leave_unsaid": w.fleet.LeaveUnannounced}[words[0]](id, d)
 		return err
 	}
 	return fmt.Errorf("unknown command")
@@ -343,13 +343,13 @@
 	for i := 0; i < len(words); i++ {
 		switch words[i] {
 		case "dark":
-			c.Dark = true
+			c.Silent = true
 		case "gone":
-			c.Gone = true
+			c.Permanent = true
 		case "elsewhere":
-			c.Elsewhere = true
+			c.NewAddress = true
 		case "again":
-			c.Again = true
+			c.SameName = true
 		case "back", "recorded", "unlisted":
 			if i+1 == len(words) {
 				return fmt.Errorf("%s has no value", words[i])
@@ -358,7 +358,7 @@
 			if err != nil {
 				return err
 			}
-			*map[string]*time.Duration{"back": &c.Back, "recorded": &c.Recorded, "unlisted": &c.Unlisted}[words[i]] = d
+			*map[string]*time.Duration{"back": &c.RestartDelay, "recorded": &c.OldRecordRemovedAfter, "unlisted": &c.FirstRecordAfter}[words[i]] = d
 			i++
 		default:
 			return fmt.Errorf("unknown word %q", words[i])
@@ -433,7 +433,7 @@
 func (w *world) checkCounter(name, want string) error {
 	sum := int64(0)
 	for _, b := range w.boxes {
-		sum += b.node.Metrics.Counted(name)
+		sum += b.node.Metrics.CounterValue(name)
 	}
 	if got := fmt.Sprint(sum); got != want {
 		return fmt.Errorf("the counter is %s", got)
@@ -446,7 +446,7 @@
 	task := job.Task{Job: id}
 	var worker, hall string
 	for end := time.Now().Add(runStartTimeout); worker == ""; time.Sleep(5 * time.Millisecond) {
-		if worker, hall = w.fleet.WhereRuns(task); time.Now().After(end) {
+		if worker, hall = w.fleet.TaskLocation(task); time.Now().After(end) {
 			return errors.New("the task does not run")
 		}
 	}
@@ -457,7 +457,7 @@
 	case "cut":
 		return w.fleet.Cut(worker, true)
 	case "fail":
-		return w.fleet.Fail(worker, true)
+		return w.fleet.FailRuns(worker, true)
 	case "leave":
 		w.fleet.Drain(worker, shortNotice)
 		time.Sleep(shortNotice)
@@ -481,18 +481,18 @@
 		w.store.SetUp()
 		w.network.Heal()
 	case "part_out":
-		w.store.SetPartOut("") // This part holds the rows of the operator.
+		w.store.FailPart("") // This part holds the rows of the operator.
 	case "compact":
 		w.store.Compact()
 	case "deaf":
-		w.store.SetDeaf()
+		w.store.StallFeeds()
 	case "slow", "thin", "commits":
 		d, err := time.ParseDuration(words[1])
-		map[string]func(time.Duration){"slow": w.store.SetSlow, "thin": w.store.SetThin, "commits": w.store.SetCommitsSlow}[words[0]](d)
+		map[string]func(time.Duration){"slow": w.store.SetLatency, "thin": w.store.SetRowTime, "commits": w.store.SetCommitDelay}[words[0]](d)
 		return err
 	case "lose":
 		share, err := strconv.ParseFloat(words[1], 64)
-		w.store.SetLose(share)
+		w.store.SetLossRate(share)
 		return err
 	case "cut":
 		w.rejectedBox = w.named(words[1])
@@ -518,9 +518,9 @@
 	got, most := v.Starts, words[len(words)-1]
 	switch words[0] {
 	case "hall_starts":
-		got = v.InHall[words[1]]
+		got = v.StartsByHall[words[1]]
 	case "unheard":
-		got = len(v.Unheard)
+		got = len(v.LateDuplicates)
 	case "running":
 		got = w.fleet.Running()
 	case "fenced":
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -37,15 +37,15 @@
 	return max((siteWatchers+n-1)/n, minHallWatchers)
 }
 
-// Means holds the resources of a box. A zero value means unknown and counts as plenty.
-type Means struct {
+// Resources holds the resources of a box. A zero value means unknown and counts as plenty.
+type Resources struct {
 	Cores        float64 // Processor time, in core seconds per second.
 	MegabitsPerS float64 // Bandwidth of the network link, in Mbit/s.
 	Descriptors  int     // Limit of open files and sockets.
 }
 
 // takeoverTime returns how long a takeover of a large site takes with these resources.
-func (m Means) takeoverTime() time.Duration {
+func (m Resources) takeoverTime() time.Duration {
 	seconds := 0.0
 	if m.MegabitsPerS > 0 {
 		seconds += takeoverMegabits / m.MegabitsPerS
@@ -70,6 +70,6 @@
 // watches reports whether this box watches the store itself: because it watches for its hall, because it schedules
 // and must not rely on copies of other boxes, or because it does not know yet which boxes watch.
 func (n *Node) watches() bool {
-	book := &n.relay.Book
-	return n.platform.Network == nil || n.scheduler.Load() != nil || !book.Ranked() || book.IsWatcher()
+	book := &n.relay.Directory
+	return n.platform.Network == nil || n.scheduler.Load() != nil || !book.CandidatesKnown() || book.IsWatcher()
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -70,12 +70,12 @@
 		switch {
 		case n.isFree(lease):
 			pause = min(leasePoll, wait)
-		case n.relay.Book.IsWatcher():
+		case n.relay.Directory.IsWatcher():
 			wait += leaseRenewalTimeout
-		case !n.relay.Book.Ranked(): // The ranking of the boxes is known soon.
+		case !n.relay.Directory.CandidatesKnown(): // The ranking of the boxes is known soon.
 			wait += leaseRenewalTimeout + standbyWait
 		default:
-			wait += leaseRenewalTimeout + standbyWait + n.relay.Book.Phase(standbyWait)
+			wait += leaseRenewalTimeout + standbyWait + n.relay.Directory.Phase(standbyWait)
 			pause = standbyPoll
 		}
 		if time.Since(since) >= wait {
@@ -139,7 +139,7 @@
 	n.Metrics.Count("leases_tried")
 	term, err := n.ledger.Claim(ctx, n.holder, lease, since)
 	if err != nil {
-		if !errors.Is(err, ledger.ErrReplaced) {
+		if !errors.Is(err, ledger.ErrLeaseTaken) {
 			n.log.Warn("node: unable to claim the lease; retrying", logsink.Error(err))
 			interval.Sleep(ctx, retryPause)
 		}
@@ -148,8 +148,8 @@
 	n.Metrics.Count("leases_claimed")
 	n.log.Info("node: lease claimed", zap.Int64("epoch", term.Epoch()), zap.String("from", lease.Holder))
 	s := &scheduler.Scheduler{
-		Ledger: n.ledger, Directory: n.platform.Directory(n.store, &n.Metrics), Orders: n.platform.Orders, Configuration: n.Configuration, Halls: n.Halls,
-		Slept: n.platform.Suspended, SleptBefore: suspended,
+		Ledger: n.ledger, Directory: n.platform.Directory(n.store, &n.Metrics), Commands: n.platform.Commands, Configuration: n.Configuration, Halls: n.Halls,
+		Suspended: n.platform.Suspended, SuspendedBefore: suspended,
 		Bounds: n.settings.Load().Bounds, Log: n.log, Figures: &n.Metrics,
 	}
 	n.scheduler.Store(s)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,8 +48,8 @@
 	// Configurations returns a reader of configurations in a store.
 	Configurations func(s store.Store) Configurations
 	// Directory returns the directory of workers in a store.
-	Directory func(s store.Store, f *measure.Figures) scheduler.Directory
-	Orders    fleet.Orders
+	Directory func(s store.Store, f *measure.Metrics) scheduler.Directory
+	Commands  fleet.Commands
 	// Suspended returns the total time the machine has been suspended; nil to ask the system.
 	Suspended func() time.Duration
 	// Front returns the handler for clients.
@@ -61,7 +61,7 @@
 // Node is one box. Create it with New.
 type Node struct {
 	Entry   *entry.Entry
-	Metrics measure.Figures
+	Metrics measure.Metrics
 
 	settings         atomic.Pointer[Settings]
 	platform         Platform
@@ -73,8 +73,8 @@
 	config           atomic.Pointer[queue.Configuration]
 	halls            atomic.Pointer[knownHalls]
 	relay            *relay.Store
-	store            *relay.Watched // The store over the direct path or through other boxes.
-	cache            *relay.Cache   // The same store, for rows that other boxes of the hall follow too.
+	store            *relay.MonitoredStore // The store over the direct path or through other boxes.
+	cache            *relay.Cache          // The same store, for rows that other boxes of the hall follow too.
 	operator         watchedOperator
 	lease            watchedLease
 	stopping         atomic.Bool
@@ -91,21 +91,21 @@
 // New returns a box that is not running yet.
 func New(s *Settings, p Platform, log *zap.Logger) *Node {
 	if p.Suspended == nil {
-		p.Suspended = awake.Slept
+		p.Suspended = awake.Suspended
 	}
 	n := &Node{platform: p, log: log, superseded: make(chan struct{}), start: ledger.Start{Name: xid.New().String()}}
 	n.relay = &relay.Store{
-		Direct:  relay.Watched{Store: p.Store, Path: relay.PathDirect, Log: log, Figures: &n.Metrics},
-		Network: p.Network, Book: relay.Book{Box: s.Box, Hall: s.Hall, Address: s.Relay, Takeover: s.Means.takeoverTime(), Watchers: watchersPerHall(s.Halls)}, Log: log, Figures: &n.Metrics,
+		Direct:  relay.MonitoredStore{Store: p.Store, Path: relay.PathDirect, Log: log, Figures: &n.Metrics},
+		Network: p.Network, Directory: relay.PeerDirectory{Box: s.Box, Hall: s.Hall, Address: s.Relay, TakeoverTime: s.Means.takeoverTime(), Watchers: watchersPerHall(s.Halls)}, Log: log, Figures: &n.Metrics,
 	}
-	n.relay.Book.Twin = n.checkDuplicateBox
-	n.store = &relay.Watched{Store: n.relay, Path: relay.PathAny, Log: log, Figures: &n.Metrics}
+	n.relay.Directory.OnDuplicate = n.checkDuplicateBox
+	n.store = &relay.MonitoredStore{Store: n.relay, Path: relay.PathAny, Log: log, Figures: &n.Metrics}
 	n.ledger = &ledger.Ledger{Store: n.store, Shard: Shard}
 	n.settings.Store(s)
 	n.cache = &relay.Cache{Store: n.store}
 	n.operator = newWatchedOperator(n)
 	n.lease = newWatchedLease(n)
-	n.Entry = &entry.Entry{Ledger: n.ledger, Configuration: n.Configuration, Healthy: n.store.Healthy, Out: n.store.Out, Closed: n.allHallsEmptied, Log: log, Figures: &n.Metrics}
+	n.Entry = &entry.Entry{Ledger: n.ledger, Configuration: n.Configuration, StoreHealthy: n.store.Healthy, StoreUnreachable: n.store.Unreachable, AllHallsEmptied: n.allHallsEmptied, Log: log, Figures: &n.Metrics}
 	return n
 }
 
@@ -123,7 +123,7 @@
 
 // Ready reports whether the load balancer should send new connections to this box.
 func (n *Node) Ready() bool {
-	return !n.Stopping() && n.Configuration() != nil && !n.store.Out()
+	return !n.Stopping() && n.Configuration() != nil && !n.store.Unreachable()
 }
 
 // Reload applies changed settings. Changed addresses have no effect until the box is started again.
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -46,7 +46,7 @@
 
 // follower returns a store whose reads are answered by boxes of the hall that watch the store.
 func (n *Node) follower() *relay.Follower {
-	return &relay.Follower{Store: n.store, Book: &n.relay.Book, Network: n.platform.Network, Figures: &n.Metrics}
+	return &relay.Follower{Store: n.store, Directory: &n.relay.Directory, Network: n.platform.Network, Figures: &n.Metrics}
 }
 
 // read returns the operator's instructions, the time up to which they include every change, and the pause before the
--- a/internal/node/random_test.go
+++ b/internal/node/random_test.go
@@ -103,8 +103,8 @@
 		return errors.Errorf("invariants violated: %v", broken)
 	}
 	for id, state := range ended {
-		crashLooping := w.fleet.MayBeGivenUp(id) && strings.Contains(w.reason(id), "workers crashed")
-		if state == job.Failed && !w.poisoned[id] && !crashLooping && !(w.fleet.UsedUp(id) && strings.Contains(w.reason(id), "as often as its queue allows")) {
+		crashLooping := w.fleet.CrashLoopLimitReached(id) && strings.Contains(w.reason(id), "workers crashed")
+		if state == job.Failed && !w.poisoned[id] && !crashLooping && !(w.fleet.AttemptsExhausted(id) && strings.Contains(w.reason(id), "as often as its queue allows")) {
 			return errors.Errorf("job %s failed though nothing in the script makes it fail: %s", id, w.reason(id))
 		}
 		if state == job.Completed && w.poisoned[id] {
--- a/internal/node/signs_test.go
+++ b/internal/node/reachability_test.go
@@ -18,15 +18,15 @@
 			return err
 		}
 		if words[0] == "answers" {
-			return w.fleet.AnswerLate(id, d)
+			return w.fleet.DelayAnswers(id, d)
 		}
-		return w.fleet.HoldBack(id, d)
+		return w.fleet.DelayNextPollAnswer(id, d)
 	}
 	if words[0] == "heal" || len(words) == 2 && words[0] == "cut" {
 		return w.fleet.Cut(id, words[0] == "cut")
 	}
 	for _, box := range w.boxesNamed(words[2:]) {
-		change, on := w.fleet.Shut, words[0] == "shut"
+		change, on := w.fleet.CloseConnections, words[0] == "shut"
 		if words[0] == "cut" {
 			change, on = w.fleet.CutFrom, true
 		}
@@ -61,7 +61,7 @@
 		}
 	}
 	for end := time.Now().Add(runStartTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		worker, _ := w.fleet.WhereRuns(task)
+		worker, _ := w.fleet.TaskLocation(task)
 		if worker == "" && words[0] == "meet" {
 			worker = words[4]
 		}
@@ -83,7 +83,7 @@
 
 // endWorkerWith ends the process of the worker on which the next run of a job completes.
 func (w *world) endWorkerWith(id job.ID, words []string) {
-	w.fleet.EndWith(id, emulator.LastMoments{Lost: slices.Contains(words, "lost"), Crash: slices.Contains(words, "crash"), Due: slices.Contains(words, "due")})
+	w.fleet.ExitAfterRun(id, emulator.ExitMode{LosesAnswers: slices.Contains(words, "lost"), Crash: slices.Contains(words, "crash"), AtDeparture: slices.Contains(words, "due")})
 }
 
 // applyToAllWorkers runs a worker command on every worker that was added.
@@ -101,7 +101,7 @@
 // setStopTime sets how long a stop takes.
 func (w *world) setStopTime(text string) error {
 	d, err := time.ParseDuration(text)
-	w.fleet.SetStops(d)
+	w.fleet.SetStopDuration(d)
 	return err
 }
 
@@ -146,18 +146,18 @@
 func (w *world) noteImpairment(words []string) {
 	switch words[0] {
 	case "store":
-		w.fleet.Ail(words[1] != "up" && words[1] != "compact")
+		w.fleet.SetStoreFaulty(words[1] != "up" && words[1] != "compact")
 	case "part":
-		w.fleet.Ail(true)
+		w.fleet.SetStoreFaulty(true)
 	case "weak":
-		w.fleet.Impair(time.Now().Add(weakFor))
+		w.fleet.ImpairUntil(time.Now().Add(weakFor))
 	case "freeze":
 		d, err := time.ParseDuration(words[2])
 		if err != nil {
 			return // The command fails.
 		}
-		w.fleet.Impair(time.Now().Add(d))
+		w.fleet.ImpairUntil(time.Now().Add(d))
 	case "kill", "stop", "start", "lose", "boxes":
-		w.fleet.Impair(time.Now())
+		w.fleet.ImpairUntil(time.Now())
 	}
 }
--- a/internal/node/script_test.go
+++ b/internal/node/script_test.go
@@ -229,11 +229,11 @@
 func (w *world) violations() []string {
 	v := w.fleet.Verdict()
 	var broken []string
-	broken = append(broken, v.Twice...)
-	broken = append(broken, v.Unasked...)
-	broken = append(broken, v.Emptied...)
-	broken = append(broken, v.Budget...)
-	broken = append(broken, v.Waits...)
+	broken = append(broken, v.Duplicates...)
+	broken = append(broken, v.UnknownStarts...)
+	broken = append(broken, v.InEmptiedHall...)
+	broken = append(broken, v.OverBudget...)
+	broken = append(broken, v.LongWaits...)
 	return append(broken, v.TooEarly...)
 }
 
@@ -270,10 +270,10 @@
 		return w.drift(words[1])
 	case "given_up_after":
 		n, err := strconv.Atoi(words[1])
-		w.fleet.SetGivenUpAfter(n)
+		w.fleet.SetCrashLoopLimit(n)
 		return err
 	case "untold":
-		w.fleet.SetUntold(true)
+		w.fleet.SetHideStartTime(true)
 		return nil
 	case "stop_time":
 		return w.setStopTime(words[1])
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -19,6 +19,6 @@
 	StopAfter time.Duration // Time between SIGTERM and SIGKILL.
 	// ConfigurationWithin is the time within which a new configuration must be in force; 0 if unknown.
 	ConfigurationWithin time.Duration
-	Means               Means
+	Means               Resources
 	Bounds              scheduler.Bounds
 }
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -90,7 +90,7 @@
 			quicktest.Check(t, took < 3500*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%d boxes: took %s", boxes, took))
 			attempts := int64(0)
 			for _, n := range w.nodes() {
-				attempts += n.Metrics.Counted("leases_tried")
+				attempts += n.Metrics.CounterValue("leases_tried")
 			}
 			quicktest.Check(t, attempts <= 12, quicktest.IsTrue, quicktest.Commentf("%d boxes: %d tried to claim the lease", boxes, attempts))
 			failed := w.directCalls()["commit_failed"]
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -25,9 +25,9 @@
 		view := w.fleet.For(gate)
 		nothing := func(*Node) http.Handler { return http.NotFoundHandler() }
 		n := New(&Settings{Box: "box-1", Front: "127.0.0.1:0", Ready: "127.0.0.1:0", Relay: relay, StopAfter: 2 * time.Second}, Platform{
-			Store: w.store.For("box-1", gate), Network: w.network.For("box-1", gate), Orders: view, Front: nothing, Readiness: nothing,
+			Store: w.store.For("box-1", gate), Network: w.network.For("box-1", gate), Commands: view, Front: nothing, Readiness: nothing,
 			Configurations: func(s store.Store) Configurations { return &instructions{w.operator, s} },
-			Directory:      func(store.Store, *measure.Figures) scheduler.Directory { return view },
+			Directory:      func(store.Store, *measure.Metrics) scheduler.Directory { return view },
 		}, zap.NewNop())
 		ended := make(chan error, 1)
 		go func() { ended <- n.Run(ctx) }()
@@ -36,7 +36,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	first, firstEnded := run(ctx, "127.0.0.1:0")
-	for end := time.Now().Add(5 * time.Second); first.Metrics.Counted("leases_claimed") == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); first.Metrics.CounterValue("leases_claimed") == 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	second, secondEnded := run(ctx, "localhost:0")
@@ -48,8 +48,8 @@
 		t.Fatal("the earlier start does not stop")
 	}
 	quicktest.Check(t, first.Ready(), quicktest.IsFalse)
-	quicktest.Check(t, first.Metrics.Counted("starts_outranked"), quicktest.Equals, int64(1))
-	quicktest.Check(t, second.Metrics.Counted("starts_elsewhere"), quicktest.Equals, int64(1))
+	quicktest.Check(t, first.Metrics.CounterValue("starts_outranked"), quicktest.Equals, int64(1))
+	quicktest.Check(t, second.Metrics.CounterValue("starts_elsewhere"), quicktest.Equals, int64(1))
 	quicktest.Check(t, second.Stopping(), quicktest.IsFalse)
 	cancel()
 	quicktest.Assert(t, <-secondEnded, quicktest.IsNil)
@@ -79,7 +79,7 @@
 	inEmptyWorld(t, func(t *testing.T, w *world) {
 		raw, err := cbor.Marshal(ledger.Start{Number: 7, Name: "before"})
 		quicktest.Assert(t, err, quicktest.IsNil)
-		w.store.Operate(&store.Transaction{Writes: []store.Row{{Key: store.Key{Table: "starts", Part: Shard, Name: "box-1"}, Value: raw}}})
+		w.store.CommitAsOperator(&store.Transaction{Writes: []store.Row{{Key: store.Key{Table: "starts", Part: Shard, Name: "box-1"}, Value: raw}}})
 		l := &ledger.Ledger{Store: w.store.For("box-1", &emulator.Gate{}), Shard: Shard}
 		own, before, err := l.Register(w.ctx, "box-1", ledger.Start{Name: "now"})
 		quicktest.Assert(t, err, quicktest.IsNil)
--- a/internal/node/why.go
+++ b/internal/node/why.go
@@ -53,8 +53,8 @@
 	if err != nil {
 		return nil, err
 	}
-	tracker := job.NewLife(r, p)
-	report := &WhyReport{Job: string(id), State: tracker.Progress.State.String(), Reason: tracker.Progress.Failure.Text(), Steps: stepReports(tracker)}
+	tracker := job.NewTracker(r, p)
+	report := &WhyReport{Job: string(id), State: tracker.Progress.State.String(), Reason: tracker.Progress.Failure.Message(), Steps: stepReports(tracker)}
 	if note := n.addressNote.Load(); note != nil {
 		report.Notes = append(report.Notes, *note)
 	}
@@ -65,7 +65,7 @@
 }
 
 // stepReports returns the counts of each step of a job.
-func stepReports(l *job.Life) []StepReport {
+func stepReports(l *job.Tracker) []StepReport {
 	reports := make([]StepReport, len(l.Request.Steps))
 	for i := range l.Progress.Tasks {
 		t := &l.Progress.Tasks[i]
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -106,8 +106,8 @@
 	if emptied {
 		tx = &store.Transaction{Writes: []store.Row{{Key: key}}}
 	}
-	w.store.Operate(tx)
-	w.fleet.Empty(hall, emptied)
+	w.store.CommitAsOperator(tx)
+	w.fleet.SetEmptied(hall, emptied)
 }
 
 func newWorld(ctx context.Context, seed uint64, log *zap.Logger) *world {
@@ -119,7 +119,7 @@
 			{Name: "twice", Host: "h", Prefix: "/twice/", Service: "s", Priority: 2, Attempts: 2, Stretch: 3, Objective: 3 * time.Second},
 			{Name: "bulk", Host: "h", Prefix: "/bulk/", Service: "s", Priority: 2, Attempts: 3, Stretch: 3, Objective: 3 * time.Second},
 		},
-		Services:   []queue.Service{{Name: "s", Guards: true}},
+		Services:   []queue.Service{{Name: "s", AdmissionCheck: true}},
 		Workspaces: []queue.Workspace{{Name: "desk", Keys: []string{"desk-key"}, Guaranteed: 16}, {Name: "court", Keys: []string{"court-key"}, Guaranteed: 8}},
 	}
 	workers := emulator.NewFleet(ctx, testMaxLease, testGangWait)
@@ -137,13 +137,13 @@
 	gate := &emulator.Gate{Box: name}
 	view := w.fleet.For(gate)
 	p := Platform{
-		Store: w.store.For(name, gate), Network: w.network.For(name, gate), Orders: view,
+		Store: w.store.For(name, gate), Network: w.network.For(name, gate), Commands: view,
 		Configurations: func(s store.Store) Configurations { return &instructions{w.operator, s} },
-		Directory:      func(store.Store, *measure.Figures) scheduler.Directory { return view },
+		Directory:      func(store.Store, *measure.Metrics) scheduler.Directory { return view },
 	}
 	s := &Settings{Box: name, Hall: name[:strings.LastIndex(name, "-")], Relay: name, Halls: w.halls, ConfigurationWithin: testConfiguration, StopAfter: 6 * time.Second, Bounds: scheduler.Bounds{
-		MaxLease: testMaxLease, StopTime: testStopTime, Stays: testStayTime, GangWait: testGangWait, Retain: w.retain, Emptied: testEmptied,
-		Policy: placement.Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: testStopTime, WasteCost: 0.0015},
+		MaxLease: testMaxLease, StopTime: testStopTime, MinStay: testStayTime, GangWait: testGangWait, Retain: w.retain, EmptiedGrace: testEmptied,
+		Policy: placement.Policy{RemoteFactor: 3, GuaranteedStartLimit: 3 * time.Second, MaxStopTime: testStopTime, WasteCost: 0.0015},
 	}}
 	n := New(s, p, w.log.With(zap.String("box", name)))
 	w.network.Serve(name, n.relay.Shared(n.cache), gate)
@@ -176,7 +176,7 @@
 		if err = w.submitAt(nodes[try%len(nodes)], queueName, key, &copied); err == nil {
 			w.mu.Lock()
 			w.accepted[r.ID] = r
-			w.fleet.Accept(r.ID)
+			w.fleet.RecordAccepted(r.ID)
 			w.mu.Unlock()
 			return nil
 		}
@@ -242,7 +242,7 @@
 }
 
 func (w *world) cancel(id job.ID) error {
-	w.fleet.Withdraw(id)
+	w.fleet.RecordWithdrawn(id)
 	var err error
 	for _, name := range w.clientBoxes {
 		n := w.boxes[name].node
--- a/internal/object/object.go
+++ b/internal/object/object.go
@@ -11,8 +11,8 @@
 	"github.com/pulleyring/pulleyring/internal/wire"
 )
 
-// ErrAbsent is returned for an object that does not exist.
-var ErrAbsent = errors.New("object: absent")
+// ErrNotFound is returned for an object that does not exist.
+var ErrNotFound = errors.New("object: absent")
 
 // maxObjectBytes is the maximum number of bytes that Get reads of an object; the rest is cut off.
 const maxObjectBytes = 64 << 20
@@ -21,7 +21,7 @@
 type Store interface {
 	// Put writes a whole object. Writing the same bytes again has no effect.
 	Put(ctx context.Context, key string, raw []byte) error
-	// Get returns an object, or ErrAbsent if it does not exist.
+	// Get returns an object, or ErrNotFound if it does not exist.
 	Get(ctx context.Context, key string) ([]byte, error)
 }
 
@@ -62,7 +62,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotFound {
-		return nil, ErrAbsent
+		return nil, ErrNotFound
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("object: status %d", resp.StatusCode)
--- a/internal/operator/cancel.go
+++ b/internal/operator/cancel.go
@@ -14,7 +14,7 @@
 const maxConcurrentCancels = 256
 
 // cancel cancels one job, or all jobs that match the conditions.
-func (d *Desk) cancel(ctx context.Context, name string, c *command.Cancel) (*command.List, error) {
+func (d *Runner) cancel(ctx context.Context, name string, c *command.Cancel) (*command.List, error) {
 	targets, refusal, err := d.targets(ctx, c)
 	if err != nil || refusal != nil {
 		return refusal, err
@@ -30,11 +30,11 @@
 
 // target is a job to cancel, with the controller of its hall.
 type target struct {
-	controller *hall.Keeper
-	entry      *hall.Entry
+	controller *hall.Controller
+	entry      *hall.CachedJob
 }
 
-func (d *Desk) targets(ctx context.Context, c *command.Cancel) ([]target, *command.List, error) {
+func (d *Runner) targets(ctx context.Context, c *command.Cancel) ([]target, *command.List, error) {
 	if c.Job != "" {
 		k, e, err := d.find(ctx, c.Job)
 		if err != nil {
@@ -65,7 +65,7 @@
 // and unknown because the table did not answer.
 type cancelCounts struct{ notRun, stopping, tooLate, unknown int }
 
-func (d *Desk) cancelAll(ctx context.Context, name string, targets []target) cancelCounts {
+func (d *Runner) cancelAll(ctx context.Context, name string, targets []target) cancelCounts {
 	var mu sync.Mutex
 	var counts cancelCounts
 	var group sync.WaitGroup
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -19,24 +19,24 @@
 	"github.com/pulleyring/pulleyring/internal/upstream"
 )
 
-// Desk runs commands. Set the exported fields before use.
-type Desk struct {
-	Box       string
-	Settings  *settings.Box
-	Config    *config.Keeper
-	Committer *table.Committer
-	Intake    *intake.Intake
-	Router    *upstream.Router
-	Members   *member.Members
-	Network   link.Network
-	Recorder  *timeline.Recorder
-	Keepers   func() []*hall.Keeper
-	News      func(prefix string) // Announces to other boxes that the rows with a key prefix have changed.
+// Runner runs commands. Set the exported fields before use.
+type Runner struct {
+	Box            string
+	Settings       *settings.Box
+	Config         *config.Keeper
+	Committer      *table.Committer
+	Intake         *intake.Intake
+	Router         *upstream.Router
+	Members        *member.Members
+	Network        link.Network
+	Recorder       *timeline.Recorder
+	Controllers    func() []*hall.Controller
+	AnnounceChange func(prefix string) // Announces to other boxes that the rows with a key prefix have changed.
 }
 
 // Run parses and runs one command of an operator. It returns a *command.Mistake if the command is invalid, and another
 // error if the table or another box did not answer.
-func (d *Desk) Run(ctx context.Context, name, text string) (*command.List, error) {
+func (d *Runner) Run(ctx context.Context, name, text string) (*command.List, error) {
 	c, err := command.Parse(text)
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 
 // changeOrders applies a command to the orders and commits them. If another operator has changed the orders meanwhile,
 // it applies the command again to the new version.
-func (d *Desk) changeOrders(ctx context.Context, name string, c *command.Command) (*command.List, error) {
+func (d *Runner) changeOrders(ctx context.Context, name string, c *command.Command) (*command.List, error) {
 	for {
 		if err := d.Config.Refresh(ctx); err != nil {
 			return nil, errors.Wrap(err, "operator: the table can't be asked")
@@ -79,14 +79,14 @@
 			return nil, errors.Wrap(err, "operator: whether the command took effect is not known; repeating it is safe")
 		}
 		if err := d.Config.Refresh(ctx); err == nil {
-			d.News(config.Prefix)
+			d.AnnounceChange(config.Prefix)
 		}
 		return answer, nil
 	}
 }
 
 // applyToOrders applies a command to the orders and returns the answer, which says what changed.
-func (d *Desk) applyToOrders(o *config.Orders, name string, c *command.Command) *command.List {
+func (d *Runner) applyToOrders(o *config.Orders, name string, c *command.Command) *command.List {
 	switch {
 	case c.Drain != nil:
 		return d.drain(o, name, c.Drain)
@@ -106,7 +106,7 @@
 	defaultGrantDuration = time.Hour
 )
 
-func (d *Desk) reclaim(o *config.Orders, name string, c *command.Reclaim) *command.List {
+func (d *Runner) reclaim(o *config.Orders, name string, c *command.Reclaim) *command.List {
 	w, ok := d.Config.Site().Workspace(c.Workspace)
 	if !ok {
 		return command.Refuse("there is no workspace %s", c.Workspace)
@@ -132,7 +132,7 @@
 	return time.Duration(d)
 }
 
-func (d *Desk) grant(o *config.Orders, name string, c *command.Grant) *command.List {
+func (d *Runner) grant(o *config.Orders, name string, c *command.Grant) *command.List {
 	w, ok := d.Config.Site().Workspace(c.Workspace)
 	if !ok {
 		return command.Refuse("there is no workspace %s", c.Workspace)
@@ -150,7 +150,7 @@
 	return command.Did(1, "granted %s %d accelerators beyond its limit until %s", c.Workspace, c.Accelerators, until.Format(time.RFC3339))
 }
 
-func (d *Desk) revoke(o *config.Orders, c *command.Revoke) *command.List {
+func (d *Runner) revoke(o *config.Orders, c *command.Revoke) *command.List {
 	before := len(o.Claims) + len(o.Grants)
 	claims, grants := o.Claims, o.Grants
 	o.Claims, o.Grants = nil, nil
@@ -168,7 +168,7 @@
 	return command.Did(ended, "ended %d claims and grants of %s", ended, c.Workspace)
 }
 
-func (d *Desk) drain(o *config.Orders, name string, t *command.Target) *command.List {
+func (d *Runner) drain(o *config.Orders, name string, t *command.Target) *command.List {
 	kind, refusal := d.resolve(t)
 	if refusal != nil {
 		return refusal
@@ -182,7 +182,7 @@
 	return command.Did(1, "drained %s %s; what runs there goes on", kind, t.Name)
 }
 
-func (d *Desk) undrain(o *config.Orders, t *command.Target) *command.List {
+func (d *Runner) undrain(o *config.Orders, t *command.Target) *command.List {
 	kind, refusal := d.resolve(t)
 	if refusal != nil {
 		return refusal
@@ -197,7 +197,7 @@
 }
 
 // resolve returns the kind of the target, or a refusal if its name is unknown or ambiguous.
-func (d *Desk) resolve(t *command.Target) (string, *command.List) {
+func (d *Runner) resolve(t *command.Target) (string, *command.List) {
 	site := d.Config.Site()
 	var kinds []string
 	add := func(kind, name string) {
@@ -234,7 +234,7 @@
 }
 
 // why returns the state of a job. For a waiting job it asks the box that schedules the job's hall for the reason.
-func (d *Desk) why(ctx context.Context, job string) (*command.List, error) {
+func (d *Runner) why(ctx context.Context, job string) (*command.List, error) {
 	k, e, err := d.find(ctx, job)
 	if err != nil {
 		return nil, err
@@ -245,7 +245,7 @@
 	if e.State != "waiting" {
 		return command.Did(0, "%s is %s in rack %s, attempt %d, since %s", e.Key(), e.State, e.Rack, e.Number, e.Started.Format(time.RFC3339)), nil
 	}
-	text := k.Why(e.Key())
+	text := k.WaitReason(e.Key())
 	preferred := d.Members.Preferred(k.Hall)
 	if preferred.Name != d.Box {
 		reply, err := d.Network.Send(ctx, preferred, &link.Message{Question: &link.Question{Why: e.Key()}})
@@ -261,12 +261,12 @@
 }
 
 // find returns the unfinished job with a key or an ID, or nil if there is none.
-func (d *Desk) find(ctx context.Context, job string) (*hall.Keeper, *hall.Entry, error) {
-	for _, k := range d.Keepers() {
-		if err := k.Book.Refresh(ctx); err != nil {
+func (d *Runner) find(ctx context.Context, job string) (*hall.Controller, *hall.CachedJob, error) {
+	for _, k := range d.Controllers() {
+		if err := k.Rows.Refresh(ctx); err != nil {
 			return nil, nil, errors.Wrap(err, "operator: the table can't be asked")
 		}
-		for _, e := range k.Book.Jobs() {
+		for _, e := range k.Rows.Jobs() {
 			if e.Key() == job || e.Identity.ID == job {
 				return k, e, nil
 			}
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -15,7 +15,7 @@
 func itoa(n int) string { return strconv.Itoa(n) }
 
 // show returns the list that a show command asks for.
-func (d *Desk) show(ctx context.Context, s *command.Show) (*command.List, error) {
+func (d *Runner) show(ctx context.Context, s *command.Show) (*command.List, error) {
 	var list *command.List
 	var err error
 	switch s.What {
@@ -43,14 +43,14 @@
 }
 
 // listJobs lists the unfinished gangs of all halls, and returns a target for each row.
-func (d *Desk) listJobs(ctx context.Context) (*command.List, []target, error) {
+func (d *Runner) listJobs(ctx context.Context) (*command.List, []target, error) {
 	list := &command.List{Columns: []string{"job", "hall", "state", "workspace", "kind", "gang", "accelerators", "age", "rack", "attempt", "urgent", "at_most_once"}}
 	var targets []target
-	for _, k := range d.Keepers() {
-		if err := k.Book.Refresh(ctx); err != nil {
+	for _, k := range d.Controllers() {
+		if err := k.Rows.Refresh(ctx); err != nil {
 			return nil, nil, errors.Wrap(err, "operator: the table can't be asked")
 		}
-		for _, e := range k.Book.Jobs() {
+		for _, e := range k.Rows.Jobs() {
 			s := e.Submission
 			list.Rows = append(list.Rows, []string{
 				e.Key(), k.Hall, string(e.State), s.Workspace, s.Kind, itoa(s.Gang), itoa(s.Gang * s.Shape.Accelerators),
@@ -65,7 +65,7 @@
 func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 1, 64) }
 
 // listRequests lists the small requests that this box has in progress or settled recently.
-func (d *Desk) listRequests() *command.List {
+func (d *Runner) listRequests() *command.List {
 	list := &command.List{Columns: []string{"request", "workspace", "kind", "outcome", "age", "took"}}
 	for _, r := range d.Intake.Recent() {
 		list.Rows = append(list.Rows, []string{
@@ -75,20 +75,20 @@
 	return list
 }
 
-func (d *Desk) listRacks(ctx context.Context) (*command.List, error) {
+func (d *Runner) listRacks(ctx context.Context) (*command.List, error) {
 	list := &command.List{Columns: []string{"rack", "hall", "workers", "accelerators", "in_use", "free", "pledged", "drained", "set_aside_for"}}
 	orders := d.Config.Orders()
 	site := d.Config.Site()
 	layout, _ := pledge.Plan(site, nil)
-	for _, k := range d.Keepers() {
-		if err := k.Book.Refresh(ctx); err != nil {
+	for _, k := range d.Controllers() {
+		if err := k.Rows.Refresh(ctx); err != nil {
 			return nil, errors.Wrap(err, "operator: the table can't be asked")
 		}
 		used := map[string]int{}
-		for _, e := range k.Book.Jobs() {
+		for _, e := range k.Rows.Jobs() {
 			used[e.Rack] += e.Submission.Gang * e.Submission.Shape.Accelerators
 		}
-		setAsides := k.SetAsides()
+		setAsides := k.ReservedRacks()
 		h, _ := site.Hall(k.Hall)
 		for _, r := range h.Racks {
 			total, pledged := r.Capacity().Accelerators, 0
@@ -106,11 +106,11 @@
 	return list, nil
 }
 
-func (d *Desk) listWorkers() *command.List {
+func (d *Runner) listWorkers() *command.List {
 	list := &command.List{Columns: []string{"worker", "rack", "hall", "cpus", "memory_gb", "accelerators", "used_accelerators", "heard", "drained"}}
 	orders := d.Config.Orders()
 	site := d.Config.Site()
-	for _, k := range d.Keepers() {
+	for _, k := range d.Controllers() {
 		h, _ := site.Hall(k.Hall)
 		for _, r := range h.Racks {
 			for _, w := range r.Workers {
@@ -126,13 +126,13 @@
 }
 
 // listBoxes lists the boxes that this box considers alive, and the halls for which it considers each the preferred box.
-func (d *Desk) listBoxes() *command.List {
+func (d *Runner) listBoxes() *command.List {
 	list := &command.List{Columns: []string{"box", "hall", "listen", "leaving", "site_version", "orders_version", "preferred_for"}}
 	site, orders := d.Config.Versions()
-	self := link.Heartbeat{Entry: d.Members.Own(), Version: site, Orders: orders}
+	self := link.Heartbeat{Entry: d.Members.SelfEntry(), Version: site, Orders: orders}
 	for _, h := range append([]link.Heartbeat{self}, d.Members.Peers()...) {
 		preferred := ""
-		for _, k := range d.Keepers() {
+		for _, k := range d.Controllers() {
 			if d.Members.Preferred(k.Hall).Name == h.Entry.Name {
 				preferred += k.Hall + " "
 			}
@@ -145,14 +145,14 @@
 	return list
 }
 
-func (d *Desk) listWorkspaces(ctx context.Context) (*command.List, error) {
+func (d *Runner) listWorkspaces(ctx context.Context) (*command.List, error) {
 	list := &command.List{Columns: []string{"workspace", "guaranteed", "limit", "share", "in_use", "waiting", "claimed", "granted"}}
 	used, waiting := map[string]int{}, map[string]int{}
-	for _, k := range d.Keepers() {
-		if err := k.Book.Refresh(ctx); err != nil {
+	for _, k := range d.Controllers() {
+		if err := k.Rows.Refresh(ctx); err != nil {
 			return nil, errors.Wrap(err, "operator: the table can't be asked")
 		}
-		for _, e := range k.Book.Jobs() {
+		for _, e := range k.Rows.Jobs() {
 			need := e.Submission.Gang * e.Submission.Shape.Accelerators
 			if e.State == "waiting" {
 				waiting[e.Submission.Workspace] += need
@@ -176,7 +176,7 @@
 	return list, nil
 }
 
-func (d *Desk) listUpstreams() *command.List {
+func (d *Runner) listUpstreams() *command.List {
 	list := &command.List{Columns: []string{"upstream", "hall", "open", "ejected", "drained"}}
 	for _, u := range d.Router.Statuses() {
 		list.Rows = append(list.Rows, []string{u.Name, u.Hall, itoa(u.Open), strconv.FormatBool(u.Ejected), strconv.FormatBool(u.Drained)})
@@ -185,7 +185,7 @@
 }
 
 // listSettings lists the versions of the configuration and the orders that are in force in each box.
-func (d *Desk) listSettings() *command.List {
+func (d *Runner) listSettings() *command.List {
 	list := &command.List{Columns: []string{"box", "site_version", "orders_version", "completion_weight", "reclaim_seconds", "newest"}}
 	site, orders := d.Config.Versions()
 	newest := site
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -63,14 +63,14 @@
 	pl.consider(d)
 	pl.excludeUnproven(d)
 	pl.returnReservation(i)
-	reserved := d.Claim != nil && !pl.droppedReservations[i]
+	reserved := d.Reservation != nil && !pl.droppedReservations[i]
 	if pl.place(i) || pl.placeOnReserved(i) {
-		if reserved && d.Draining {
-			pl.unpreemptedTasks -= len(d.Claim)
+		if reserved && d.ReservedWithoutPreemption {
+			pl.unpreemptedTasks -= len(d.Reservation)
 		}
 		return
 	}
-	if (!reserved || d.Draining) && pl.mayPreemptNow(d) && pl.preempt(i) {
+	if (!reserved || d.ReservedWithoutPreemption) && pl.mayPreemptNow(d) && pl.preempt(i) {
 		return
 	}
 	pl.deductReservation(i)
@@ -83,15 +83,15 @@
 // them.
 func (pl *planner) deductUnpreempted() {
 	for i := range pl.view.Demands {
-		if d := &pl.view.Demands[i]; d.Draining {
+		if d := &pl.view.Demands[i]; d.ReservedWithoutPreemption {
 			pl.deductReservation(i)
-			pl.unpreemptedTasks += len(d.Claim)
+			pl.unpreemptedTasks += len(d.Reservation)
 		}
 	}
 }
 
 func newPlanner(v *View) *planner {
-	workers, allocations := len(v.Workers), len(v.Holdings)
+	workers, allocations := len(v.Workers), len(v.Allocations)
 	pl := &planner{
 		view: v, free: make([]job.Resources, workers), allWorkers: make([]int, workers), freeSoon: make([]job.Resources, workers),
 		suitable: make([]bool, workers), avoided: make([]bool, workers), suspectJobs: make([]job.ID, workers), justStarted: make([]job.ID, workers), hasAntiAffinity: make([]bool, workers), served: make([]bool, len(v.Demands)), droppedReservations: make([]bool, len(v.Demands)), deducted: make([]bool, len(v.Demands)),
@@ -99,7 +99,7 @@
 	}
 	for k := range v.Workers {
 		pl.free[k], pl.allWorkers[k] = v.Workers[k].Free, k
-		pl.suspectJobs[k], pl.justStarted[k] = v.Workers[k].Suspect, v.Workers[k].Begun
+		pl.suspectJobs[k], pl.justStarted[k] = v.Workers[k].SuspectJob, v.Workers[k].JustStarted
 	}
 	pl.openCount = countOpenWorkers(v)
 	pl.reservedIdle = int(idleReserveShare * float64(pl.openCount))
@@ -112,7 +112,7 @@
 		}
 	}
 	for i := range v.Demands {
-		if !v.Demands[i].Draining {
+		if !v.Demands[i].ReservedWithoutPreemption {
 			pl.deductReservation(i)
 		}
 	}
@@ -124,7 +124,7 @@
 func countOpenWorkers(v *View) int {
 	n := 0
 	for k := range v.Workers {
-		if !v.Workers[k].Closed {
+		if !v.Workers[k].HallClosed {
 			n++
 		}
 	}
@@ -152,8 +152,8 @@
 func allocationsByWorker(v *View) [][]int {
 	counts := make([]int, len(v.Workers))
 	sum := 0
-	for h := range v.Holdings {
-		for _, k := range v.Holdings[h].Places {
+	for h := range v.Allocations {
+		for _, k := range v.Allocations[h].WorkerIndexes {
 			counts[k]++
 			sum++
 		}
@@ -163,8 +163,8 @@
 	for k, n := range counts {
 		lists[k], all = all[:0:n], all[n:]
 	}
-	for h := range v.Holdings {
-		for _, k := range v.Holdings[h].Places {
+	for h := range v.Allocations {
+		for _, k := range v.Allocations[h].WorkerIndexes {
 			lists[k] = append(lists[k], h)
 		}
 	}
@@ -194,7 +194,7 @@
 	if pl.droppedReservations[i] {
 		return nil
 	}
-	return pl.view.Demands[i].Claim
+	return pl.view.Demands[i].Reservation
 }
 
 // returnReservation adds a demand's reservation back to the free capacity, so that the demand itself can
@@ -233,12 +233,12 @@
 		if c := cmp.Compare(priorityClass(q), priorityClass(p)); c != 0 {
 			return c
 		}
-		if !p.Covered {
+		if !p.Guaranteed {
 			if c := cmp.Compare(scores[y], scores[x]); c != 0 {
 				return c
 			}
 		}
-		return cmp.Or(p.Goal.Compare(q.Goal), p.Since.Compare(q.Since), cmp.Compare(p.Job, q.Job), cmp.Compare(p.Group.Occurrence, q.Group.Occurrence), cmp.Compare(p.Group.Step, q.Group.Step))
+		return cmp.Or(p.Goal.Compare(q.Goal), p.ReadySince.Compare(q.ReadySince), cmp.Compare(p.Job, q.Job), cmp.Compare(p.Group.Occurrence, q.Group.Occurrence), cmp.Compare(p.Group.Step, q.Group.Step))
 	})
 	return order
 }
@@ -247,7 +247,7 @@
 // the rest.
 func priorityClass(d *Demand) int {
 	switch {
-	case d.Covered:
+	case d.Guaranteed:
 		return 2
 	case d.Priority == 0:
 		return 1
@@ -324,7 +324,7 @@
 // isIdle reports whether a worker accepts new runs, runs nothing and has no reserved capacity.
 func (pl *planner) isIdle(k int) bool {
 	w := &pl.view.Workers[k]
-	return w.Usable && pl.free[k] == w.Capacity
+	return w.AcceptsRuns && pl.free[k] == w.Capacity
 }
 
 // leavesReserve reports whether a demand must leave the last idle workers to urgent work. Work that can
@@ -333,8 +333,8 @@
 	if d.Priority == 0 || pl.mayPreemptNow(d) || pl.waitedTooLong {
 		return false
 	}
-	waitLimit := time.Duration(reserveWaitShare * float64(d.Goal.Sub(d.Since)))
-	return d.Priority >= bulkPriority || pl.view.Now.Sub(d.Since) <= waitLimit
+	waitLimit := time.Duration(reserveWaitShare * float64(d.Goal.Sub(d.ReadySince)))
+	return d.Priority >= bulkPriority || pl.view.Now.Sub(d.ReadySince) <= waitLimit
 }
 
 // usesReserve reports whether a gang that must leave the reserve would start on idle workers of the reserve.
--- a/internal/placement/decide_bench_test.go
+++ b/internal/placement/decide_bench_test.go
@@ -27,25 +27,25 @@
 // busyView returns a random view of a busy site. The same sizes give the same view.
 func busyView(workers, tasks int) *View {
 	random := rand.New(rand.NewPCG(1, 1))
-	v := &View{Now: time.Unix(1000, 0), Policy: Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: time.Second, WasteCost: 0.0015}}
+	v := &View{Now: time.Unix(1000, 0), Policy: Policy{RemoteFactor: 3, GuaranteedStartLimit: 3 * time.Second, MaxStopTime: time.Second, WasteCost: 0.0015}}
 	for k := range workers {
 		v.Workers = append(v.Workers, Worker{
-			ID: fmt.Sprintf("w%04d", k), Service: "s", Rack: fmt.Sprintf("r%d", k/8), Capacity: gpus(8), Free: gpus(8), Usable: true,
+			ID: fmt.Sprintf("w%04d", k), Service: "s", Rack: fmt.Sprintf("r%d", k/8), Capacity: gpus(8), Free: gpus(8), AcceptsRuns: true,
 		})
 	}
 	for k := range workers {
 		for v.Workers[k].Free.Accelerators > 0 && random.Float64() < 0.7 {
 			v.Workers[k].Free = v.Workers[k].Free.Sub(gpus(1))
-			v.Holdings = append(v.Holdings, Holding{
-				Job: job.ID(fmt.Sprint("h", len(v.Holdings))), Priority: random.IntN(3), Each: gpus(1), Places: []int{k},
-				Loss: 10 * random.Float64(), Remaining: time.Duration(random.IntN(8000)) * time.Millisecond,
+			v.Allocations = append(v.Allocations, Allocation{
+				Job: job.ID(fmt.Sprint("h", len(v.Allocations))), Priority: random.IntN(3), Each: gpus(1), WorkerIndexes: []int{k},
+				LostWork: 10 * random.Float64(), Remaining: time.Duration(random.IntN(8000)) * time.Millisecond,
 			})
 		}
 	}
 	const group = 16
 	for n := range tasks / group {
 		d := Demand{
-			Job: job.ID(fmt.Sprint("d", n)), Service: "s", Priority: n % 3, Placed: map[string]int{}, Since: v.Now.Add(-time.Second),
+			Job: job.ID(fmt.Sprint("d", n)), Service: "s", Priority: n % 3, Placed: map[string]int{}, ReadySince: v.Now.Add(-time.Second),
 			Step: &job.Step{Count: group, Each: gpus(1 << random.IntN(4)), Gang: n%3 < 2, RackLocal: n%2 == 0}, Remaining: 3 * time.Second,
 			Goal: v.Now.Add(time.Duration(4+random.IntN(20)) * time.Second), Value: 3, LateValue: 1, Work: 100,
 		}
--- a/internal/placement/layout.go
+++ b/internal/placement/layout.go
@@ -14,9 +14,9 @@
 func (pl *planner) consider(d *Demand) {
 	for k := range pl.view.Workers {
 		w := &pl.view.Workers[k]
-		pl.suitable[k] = w.Usable && w.Service == d.Service && (d.Step.Label == "" || slices.Contains(w.Labels, d.Step.Label))
+		pl.suitable[k] = w.AcceptsRuns && w.Service == d.Service && (d.Step.Label == "" || slices.Contains(w.Labels, d.Step.Label))
 		pl.avoided[k] = pl.suitable[k] && (d.Avoid[w.ID] || pl.needsIsolation(d, k))
-		pl.hasAntiAffinity[k] = len(d.Apart) > 0 && pl.runsAntiAffine(d, k)
+		pl.hasAntiAffinity[k] = len(d.AntiAffinity) > 0 && pl.runsAntiAffine(d, k)
 	}
 	if pl.waitedTooLong = pl.exceedsAmpleCapacityWait(d); pl.waitedTooLong {
 		return
@@ -54,8 +54,8 @@
 // each time, and in a quarter of the runs of a random test the sound job was failed beside one that crashed
 // its workers after 2.5 s.
 func (pl *planner) runsAntiAffine(d *Demand, k int) bool {
-	return d.Apart[pl.justStarted[k]] ||
-		slices.ContainsFunc(pl.onWorker[k], func(h int) bool { return d.Apart[pl.view.Holdings[h].Job] })
+	return d.AntiAffinity[pl.justStarted[k]] ||
+		slices.ContainsFunc(pl.onWorker[k], func(h int) bool { return d.AntiAffinity[pl.view.Allocations[h].Job] })
 }
 
 // avoidanceLevel returns 2 for a worker that the current demand avoids, 1 for one with a job that it has
@@ -88,18 +88,18 @@
 
 // waitsForExclusiveWorker reports whether a demand waits for workers on which nothing else runs.
 func (pl *planner) waitsForExclusiveWorker(d *Demand) bool {
-	return d.Alone && pl.view.Now.Sub(d.Since) < exclusiveWaitLimit
+	return d.Exclusive && pl.view.Now.Sub(d.ReadySince) < exclusiveWaitLimit
 }
 
 // runsOtherJob reports whether a task of another job runs on a worker.
 func (pl *planner) runsOtherJob(d *Demand, k int) bool {
-	return slices.ContainsFunc(pl.onWorker[k], func(h int) bool { return pl.view.Holdings[h].Job != d.Job })
+	return slices.ContainsFunc(pl.onWorker[k], func(h int) bool { return pl.view.Allocations[h].Job != d.Job })
 }
 
 // needsProvenWorkers reports whether tasks of a demand with one attempt left must run on proven workers
 // only: those on which a task has succeeded recently. They must until their wait limit ends.
 func (pl *planner) needsProvenWorkers(d *Demand) bool {
-	return len(d.LastAttempts) > 0 && pl.view.Now.Sub(d.Since) < provenWaitLimit && !pl.waitedTooLong
+	return len(d.LastAttempts) > 0 && pl.view.Now.Sub(d.ReadySince) < provenWaitLimit && !pl.waitedTooLong
 }
 
 // excludeUnproven excludes unproven workers for a gang with one attempt left.
@@ -239,7 +239,7 @@
 func (pl *planner) freeAccelerators(rack []int) int64 {
 	sum := int64(0)
 	for _, k := range rack {
-		if pl.view.Workers[k].Usable {
+		if pl.view.Workers[k].AcceptsRuns {
 			sum += pl.free[k].Accelerators
 		}
 	}
@@ -301,7 +301,7 @@
 	slices.SortStableFunc(order, func(x, y int) int {
 		return cmp.Or(
 			cmp.Compare(pl.avoidanceLevel(x), pl.avoidanceLevel(y)),
-			cmp.Compare(pl.view.Workers[x].Doubt, pl.view.Workers[y].Doubt),
+			cmp.Compare(pl.view.Workers[x].FailureScore, pl.view.Workers[y].FailureScore),
 			cmp.Compare(unprovenRank(&pl.view.Workers[x]), unprovenRank(&pl.view.Workers[y])),
 			cmp.Compare(pl.slowLevel(x), pl.slowLevel(y)),
 			cmp.Compare(pl.free[x].Cores(), pl.free[y].Cores()),
@@ -316,7 +316,7 @@
 
 // waitsForLocality reports whether the current demand still waits for capacity near its data.
 func (pl *planner) waitsForLocality(d *Demand) bool {
-	return d.Step.DataRack != "" && !pl.waitedTooLong && pl.view.Now.Sub(d.Since) < time.Duration(localityWaitShare*float64(d.Goal.Sub(d.Since)))
+	return d.Step.DataRack != "" && !pl.waitedTooLong && pl.view.Now.Sub(d.ReadySince) < time.Duration(localityWaitShare*float64(d.Goal.Sub(d.ReadySince)))
 }
 
 // assignSingles assigns as many tasks as fit, in the rack of their data if they still wait for that. While
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -34,25 +34,25 @@
 
 // drawView draws a full site and one urgent gang.
 func drawView(r *rapid.T) *View {
-	v := &View{Now: time.Unix(1000, 0), Policy: Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: time.Second, WasteCost: 0.0015}}
+	v := &View{Now: time.Unix(1000, 0), Policy: Policy{RemoteFactor: 3, GuaranteedStartLimit: 3 * time.Second, MaxStopTime: time.Second, WasteCost: 0.0015}}
 	for k := range rapid.IntRange(1, 12).Draw(r, "workers") {
 		w := Worker{ID: fmt.Sprint("w", k), Service: "s", Rack: fmt.Sprint("r", k/4), Capacity: gpus(8), Free: gpus(8)}
-		w.Usable = rapid.IntRange(0, 5).Draw(r, "usable") > 0
+		w.AcceptsRuns = rapid.IntRange(0, 5).Draw(r, "usable") > 0
 		v.Workers = append(v.Workers, w)
 	}
 	for n := range rapid.IntRange(0, 30).Draw(r, "holdings") {
-		allocation := Holding{Job: job.ID(fmt.Sprint("h", n)), Priority: rapid.IntRange(0, 2).Draw(r, "priority"), Known: rapid.Bool().Draw(r, "known")}
+		allocation := Allocation{Job: job.ID(fmt.Sprint("h", n)), Priority: rapid.IntRange(0, 2).Draw(r, "priority"), RemainingReported: rapid.Bool().Draw(r, "known")}
 		allocation.Each = gpus(rapid.SampledFrom([]int64{1, 2, 4}).Draw(r, "each"))
-		allocation.Loss, allocation.Remaining = float64(rapid.IntRange(0, 50).Draw(r, "loss")), time.Duration(rapid.IntRange(0, 4000).Draw(r, "ms"))*time.Millisecond
+		allocation.LostWork, allocation.Remaining = float64(rapid.IntRange(0, 50).Draw(r, "loss")), time.Duration(rapid.IntRange(0, 4000).Draw(r, "ms"))*time.Millisecond
 		for range rapid.IntRange(1, 5).Draw(r, "tasks") {
 			k := rapid.IntRange(0, len(v.Workers)-1).Draw(r, "on")
 			if v.Workers[k].Free.Fits(allocation.Each) {
 				v.Workers[k].Free = v.Workers[k].Free.Sub(allocation.Each)
-				allocation.Places = append(allocation.Places, k)
+				allocation.WorkerIndexes = append(allocation.WorkerIndexes, k)
 			}
 		}
-		if len(allocation.Places) > 0 {
-			v.Holdings = append(v.Holdings, allocation)
+		if len(allocation.WorkerIndexes) > 0 {
+			v.Allocations = append(v.Allocations, allocation)
 		}
 	}
 	d := Demand{Job: "d", Service: "s", Step: &job.Step{Each: gpus(rapid.SampledFrom([]int64{1, 2, 4, 8}).Draw(r, "asked")), Gang: true}}
@@ -104,8 +104,8 @@
 		free[k] = pl.free[k].Add(pl.freeSoon[k])
 	}
 	for _, h := range stops {
-		for _, k := range pl.view.Holdings[h].Places {
-			free[k] = free[k].Add(pl.view.Holdings[h].Each)
+		for _, k := range pl.view.Allocations[h].WorkerIndexes {
+			free[k] = free[k].Add(pl.view.Allocations[h].Each)
 		}
 	}
 	return free
@@ -123,8 +123,8 @@
 	best, bestCost := -1, 0.0
 	for i, h := range candidates {
 		gain := 0.0
-		each := pl.view.Holdings[h].Each
-		for _, k := range pl.view.Holdings[h].Places {
+		each := pl.view.Allocations[h].Each
+		for _, k := range pl.view.Allocations[h].WorkerIndexes {
 			if !slices.Contains(among, k) || !pl.isSuitable(k) {
 				continue
 			}
@@ -134,7 +134,7 @@
 				gain += partialTaskWeight * each.Cores() / max(d.Step.Each.Cores(), 1)
 			}
 		}
-		if cost := (pl.preemptionCost(&pl.view.Holdings[h]) + 1) / gain; gain > 0 && (best < 0 || cost < bestCost) {
+		if cost := (pl.preemptionCost(&pl.view.Allocations[h]) + 1) / gain; gain > 0 && (best < 0 || cost < bestCost) {
 			best, bestCost = i, cost
 		}
 	}
--- a/internal/placement/reclaim.go
+++ b/internal/placement/preemption.go
@@ -5,26 +5,26 @@
 // than the stop costs.
 func (pl *planner) preempt(i int) bool {
 	d := &pl.view.Demands[i]
-	if d.NoPlan {
+	if d.NoPreemptionPlan {
 		return false
 	}
 	best := pl.cheapestPlan(d)
-	if best == nil || !d.Covered && !pl.isWorthPreempting(d, best) {
-		pl.outcome.NoPlans = append(pl.outcome.NoPlans, i)
+	if best == nil || !d.Guaranteed && !pl.isWorthPreempting(d, best) {
+		pl.outcome.WithoutPlan = append(pl.outcome.WithoutPlan, i)
 		return false
 	}
 	for _, h := range best.stops {
 		pl.outcome.Stops = append(pl.outcome.Stops, h)
 		pl.stopped[h] = true
-		for _, k := range pl.view.Holdings[h].Places {
-			pl.freeSoon[k] = pl.freeSoon[k].Add(pl.view.Holdings[h].Each)
+		for _, k := range pl.view.Allocations[h].WorkerIndexes {
+			pl.freeSoon[k] = pl.freeSoon[k].Add(pl.view.Allocations[h].Each)
 		}
 	}
 	for _, worker := range best.workers {
 		k := pl.mustWorkerIndex(worker)
 		pl.free[k] = pl.free[k].Sub(d.Step.Each)
 	}
-	pl.outcome.Claims = append(pl.outcome.Claims, Reservation{Demand: i, Workers: best.workers})
+	pl.outcome.Reservations = append(pl.outcome.Reservations, Reservation{Demand: i, Workers: best.workers})
 	return true
 }
 
@@ -50,7 +50,7 @@
 // preemption than the preemption costs.
 func (pl *planner) isWorthPreempting(d *Demand, p *preemptionPlan) bool {
 	gain, goal := pl.valueAtStake(d)
-	if pl.view.Now.Add(pl.view.Policy.StopTime + d.Remaining).After(goal) {
+	if pl.view.Now.Add(pl.view.Policy.MaxStopTime + d.Remaining).After(goal) {
 		return false
 	}
 	return gain > p.cost*pl.view.Policy.WasteCost
@@ -58,15 +58,15 @@
 
 // preemptionCost returns the cost of stopping an allocation, in core-seconds: the work thrown away, the
 // capacity that is idle during the stop, and the value at risk from the restart.
-func (pl *planner) preemptionCost(h *Holding) float64 {
-	idle := pl.view.Policy.StopTime.Seconds() * h.Each.Cores() * float64(len(h.Places))
-	return h.Loss + idle + h.Risk/max(pl.view.Policy.WasteCost, 1e-6)
+func (pl *planner) preemptionCost(h *Allocation) float64 {
+	idle := pl.view.Policy.MaxStopTime.Seconds() * h.Each.Cores() * float64(len(h.WorkerIndexes))
+	return h.LostWork + idle + h.ValueAtRisk/max(pl.view.Policy.WasteCost, 1e-6)
 }
 
 // mayPreempt reports whether a demand may preempt an allocation: any of lower priority, and for guaranteed
 // work close to its start limit any without a guarantee. Until then running urgent work is spared, as it
 // may end by itself. At 48 workers that gains 0.010, 0.012 and 0.003 of mean value with 32, 64 and 128
 // cores each (60, 40 and 40 days).
-func (pl *planner) mayPreempt(d *Demand, h *Holding) bool {
+func (pl *planner) mayPreempt(d *Demand, h *Allocation) bool {
 	return h.Priority > d.Priority || pl.mustPreemptForGuarantee(d)
 }
--- a/internal/placement/drain.go
+++ b/internal/placement/reservation.go
@@ -39,7 +39,7 @@
 		k := pl.mustWorkerIndex(worker)
 		pl.free[k] = pl.free[k].Sub(d.Step.Each)
 	}
-	pl.outcome.Claims = append(pl.outcome.Claims, Reservation{Demand: i, Workers: best, Draining: true})
+	pl.outcome.Reservations = append(pl.outcome.Reservations, Reservation{Demand: i, Workers: best, WithoutPreemption: true})
 }
 
 // placeOnReserved starts a gang on capacity reserved without preemption for gangs that are served later.
@@ -82,7 +82,7 @@
 func (pl *planner) usableReservations() []int {
 	var usable []int
 	for j := range pl.view.Demands {
-		if pl.view.Demands[j].Draining && pl.deducted[j] && (pl.waitedTooLong || !pl.served[j]) {
+		if pl.view.Demands[j].ReservedWithoutPreemption && pl.deducted[j] && (pl.waitedTooLong || !pl.served[j]) {
 			usable = append(usable, j)
 		}
 	}
@@ -98,9 +98,9 @@
 	for _, j := range reservations {
 		if pl.isReservationUsed(j, used) {
 			pl.returnReservation(j)
-			pl.unpreemptedTasks -= len(pl.view.Demands[j].Claim)
+			pl.unpreemptedTasks -= len(pl.view.Demands[j].Reservation)
 			pl.droppedReservations[j] = true
-			pl.outcome.Dropped = append(pl.outcome.Dropped, j)
+			pl.outcome.DroppedReservations = append(pl.outcome.DroppedReservations, j)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 // isReservationUsed reports whether the last start left too little capacity for a demand's reservation on
 // one of the used workers.
 func (pl *planner) isReservationUsed(j int, used map[string]bool) bool {
-	for _, worker := range pl.view.Demands[j].Claim {
+	for _, worker := range pl.view.Demands[j].Reservation {
 		if k, ok := pl.workerIndex(worker); ok && used[worker] && !pl.free[k].Fits(job.Resources{}) {
 			return true
 		}
@@ -150,7 +150,7 @@
 func (pl *planner) slots(d *Demand, k int) []slot {
 	allocations := slices.Clone(pl.onWorker[k])
 	slices.SortStableFunc(allocations, func(x, y int) int {
-		return cmp.Compare(pl.view.Holdings[x].Remaining, pl.view.Holdings[y].Remaining)
+		return cmp.Compare(pl.view.Allocations[x].Remaining, pl.view.Allocations[y].Remaining)
 	})
 	free := pl.free[k]
 	var list []slot
@@ -161,8 +161,8 @@
 	}
 	add(0)
 	for _, h := range allocations {
-		free = free.Add(pl.view.Holdings[h].Each)
-		add(pl.view.Holdings[h].Remaining)
+		free = free.Add(pl.view.Allocations[h].Each)
+		add(pl.view.Allocations[h].Remaining)
 	}
 	return list
 }
--- a/internal/placement/script_test.go
+++ b/internal/placement/script_test.go
@@ -53,7 +53,7 @@
 	defer f.Close()
 	testCase := &decisionCase{starts: map[string][]string{}, reservations: map[string][]string{}}
 	testCase.view.Now = time.Unix(1000, 0)
-	testCase.view.Policy = Policy{FarFactor: 3, Reclaim: 3 * time.Second, StopTime: 500 * time.Millisecond, WasteCost: 0.0015}
+	testCase.view.Policy = Policy{RemoteFactor: 3, GuaranteedStartLimit: 3 * time.Second, MaxStopTime: 500 * time.Millisecond, WasteCost: 0.0015}
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
 		words := strings.Fields(lines.Text())
@@ -73,7 +73,7 @@
 	for _, s := range out.Starts {
 		starts[c.demands[s.Demand]] = sortedValues(s.Workers)
 	}
-	for _, s := range out.Claims {
+	for _, s := range out.Reservations {
 		claims[c.demands[s.Demand]] = sortedValues(s.Workers)
 	}
 	var stops []string
@@ -81,7 +81,7 @@
 		stops = append(stops, c.allocations[h])
 	}
 	var drops []string
-	for _, d := range out.Dropped {
+	for _, d := range out.DroppedReservations {
 		drops = append(drops, c.demands[d])
 	}
 	quicktest.Check(t, drops, quicktest.DeepEquals, c.drops)
@@ -146,11 +146,11 @@
 }
 
 func (c *decisionCase) readWorker(name string, words []string) error {
-	w := Worker{ID: name, Service: "s", Usable: true, Capacity: gpus(8), Free: gpus(8)}
+	w := Worker{ID: name, Service: "s", AcceptsRuns: true, Capacity: gpus(8), Free: gpus(8)}
 	for i := 0; i < len(words); i++ {
 		switch words[i] {
 		case "unusable":
-			w.Usable = false
+			w.AcceptsRuns = false
 			continue
 		case "unproven":
 			w.Unproven = true
@@ -170,7 +170,7 @@
 			case "freeing":
 				w.Freeing = gpus(int64(n))
 			case "doubt":
-				w.Doubt = n
+				w.FailureScore = n
 			case "slow":
 				w.Slowness = n
 			default:
@@ -189,22 +189,22 @@
 }
 
 func (c *decisionCase) readAllocation(name string, words []string) error {
-	h := Holding{Job: job.ID(name)}
+	h := Allocation{Job: job.ID(name)}
 	for i := 0; i < len(words); i++ {
 		switch words[i] {
 		case "covered":
-			h.Covered = true
+			h.Guaranteed = true
 			continue
 		case "stopping":
 			h.Stopping = true
 			continue
 		case "known":
-			h.Known = true
+			h.RemainingReported = true
 			continue
 		case "on":
 			for i+1 < len(words) && strings.HasPrefix(words[i+1], "w") {
 				i++
-				h.Places = append(h.Places, c.worker(words[i]))
+				h.WorkerIndexes = append(h.WorkerIndexes, c.worker(words[i]))
 			}
 			continue
 		}
@@ -218,7 +218,7 @@
 		case "gpu":
 			h.Each = gpus(int64(n))
 		case "loss":
-			h.Loss = n
+			h.LostWork = n
 		case "left":
 			h.Remaining = time.Duration(n * float64(time.Second))
 		default:
@@ -226,13 +226,13 @@
 		}
 		i++
 	}
-	c.view.Holdings = append(c.view.Holdings, h)
+	c.view.Allocations = append(c.view.Allocations, h)
 	c.allocations = append(c.allocations, name)
 	return nil
 }
 
 func (c *decisionCase) readDemand(name string, words []string) error {
-	d := Demand{Job: job.ID(name), Service: "s", Step: &job.Step{}, Placed: map[string]int{}, LastAttempts: map[int]bool{}, Since: c.view.Now, Remaining: time.Second, Value: 1, Work: 1}
+	d := Demand{Job: job.ID(name), Service: "s", Step: &job.Step{}, Placed: map[string]int{}, LastAttempts: map[int]bool{}, ReadySince: c.view.Now, Remaining: time.Second, Value: 1, Work: 1}
 	goal, last := time.Hour, 0
 	for i := 0; i < len(words); i++ {
 		switch words[i] {
@@ -249,16 +249,16 @@
 			last = math.MaxInt
 			continue
 		case "covered":
-			d.Covered = true
+			d.Guaranteed = true
 			continue
 		case "draining":
-			d.Draining = true
+			d.ReservedWithoutPreemption = true
 			continue
 		case "claim":
-			d.Claim = map[int]string{}
+			d.Reservation = map[int]string{}
 			for i+1 < len(words) {
 				i++
-				d.Claim[len(d.Claim)] = words[i]
+				d.Reservation[len(d.Reservation)] = words[i]
 			}
 			continue
 		case "near":
@@ -280,7 +280,7 @@
 			}
 			switch words[i] {
 			case "waited":
-				d.Since = c.view.Now.Add(-v)
+				d.ReadySince = c.view.Now.Add(-v)
 			case "goal":
 				goal = v
 			case "takes":
--- a/internal/placement/room.go
+++ b/internal/placement/search.go
@@ -82,7 +82,7 @@
 		pl.search.candidateOf[h] = 0
 		pl.addFreedCapacity(h)
 		p.stops = append(p.stops, h)
-		p.cost += pl.preemptionCost(&pl.view.Holdings[h])
+		p.cost += pl.preemptionCost(&pl.view.Allocations[h])
 	}
 	p.stops = pl.removeUnneededStops(d, p)
 	p.workers = pl.assignTasks(d, among, pl.search.free)
@@ -94,7 +94,7 @@
 	s := &pl.search
 	if s.free == nil {
 		s.free, s.included = make([]job.Resources, len(pl.free)), make([]bool, len(pl.free))
-		s.candidateOf, s.costPerTask = make([]int, len(pl.view.Holdings)), make([]float64, len(pl.view.Holdings))
+		s.candidateOf, s.costPerTask = make([]int, len(pl.view.Allocations)), make([]float64, len(pl.view.Allocations))
 	}
 	clear(s.included)
 	s.demand, s.fitting, s.candidates = d, 0, s.candidates[:0]
@@ -120,8 +120,8 @@
 
 // isCandidate reports whether an allocation may be stopped for a demand.
 func (pl *planner) isCandidate(d *Demand, h int) bool {
-	allocation := &pl.view.Holdings[h]
-	return !pl.stopped[h] && !allocation.Stopping && !allocation.Covered && !pl.endsSoon(h) && pl.mayPreempt(d, allocation)
+	allocation := &pl.view.Allocations[h]
+	return !pl.stopped[h] && !allocation.Stopping && !allocation.Guaranteed && !pl.endsSoon(h) && pl.mayPreempt(d, allocation)
 }
 
 // fitsWithAllStopped reports whether a demand would fit if all candidates were stopped. This check skips
@@ -137,7 +137,7 @@
 		free := s.free[k]
 		for _, h := range pl.onWorker[k] {
 			if s.candidateOf[h] == s.number {
-				free = free.Add(pl.view.Holdings[h].Each)
+				free = free.Add(pl.view.Allocations[h].Each)
 			}
 		}
 		fitting += pl.fittingTasks(d, k, free)
@@ -151,7 +151,7 @@
 	free := pl.view.Workers[k].Freeing
 	for _, h := range pl.onWorker[k] {
 		if pl.endsSoon(h) {
-			free = free.Add(pl.view.Holdings[h].Each)
+			free = free.Add(pl.view.Allocations[h].Each)
 		}
 	}
 	return free
@@ -159,8 +159,8 @@
 
 // endsSoon reports whether an allocation ends by itself within the time that a stop takes.
 func (pl *planner) endsSoon(h int) bool {
-	allocation := &pl.view.Holdings[h]
-	return allocation.Known && !allocation.Stopping && !pl.stopped[h] && allocation.Remaining <= pl.view.Policy.StopTime
+	allocation := &pl.view.Allocations[h]
+	return allocation.RemainingReported && !allocation.Stopping && !pl.stopped[h] && allocation.Remaining <= pl.view.Policy.MaxStopTime
 }
 
 // addFreedCapacity adds the capacity that stopping an allocation frees, and updates the cost of the
@@ -168,7 +168,7 @@
 func (pl *planner) addFreedCapacity(h int) {
 	pl.updateCapacity(h, job.Resources.Add)
 	s := &pl.search
-	for _, k := range pl.view.Holdings[h].Places {
+	for _, k := range pl.view.Allocations[h].WorkerIndexes {
 		if !s.included[k] {
 			continue
 		}
@@ -183,10 +183,10 @@
 // updateCapacity adds or subtracts the resources of an allocation's tasks, as given by change.
 func (pl *planner) updateCapacity(h int, change func(free, each job.Resources) job.Resources) {
 	s := &pl.search
-	for _, k := range pl.view.Holdings[h].Places {
+	for _, k := range pl.view.Allocations[h].WorkerIndexes {
 		if s.included[k] {
 			s.fitting -= pl.fittingTasks(s.demand, k, s.free[k])
-			s.free[k] = change(s.free[k], pl.view.Holdings[h].Each)
+			s.free[k] = change(s.free[k], pl.view.Allocations[h].Each)
 			s.fitting += pl.fittingTasks(s.demand, k, s.free[k])
 		}
 	}
@@ -224,7 +224,7 @@
 	if gain <= 0 {
 		return math.Inf(1)
 	}
-	return (pl.preemptionCost(&pl.view.Holdings[h]) + 1) / gain
+	return (pl.preemptionCost(&pl.view.Allocations[h]) + 1) / gain
 }
 
 // fittingTasksGained returns how many more tasks of the demand fit once an allocation has ended. Capacity
@@ -235,8 +235,8 @@
 	d := s.demand
 	sum := 0.0
 	need := max(d.Step.Each.Cores(), 1)
-	each := pl.view.Holdings[h].Each
-	for _, k := range pl.view.Holdings[h].Places {
+	each := pl.view.Allocations[h].Each
+	for _, k := range pl.view.Allocations[h].WorkerIndexes {
 		if !s.included[k] {
 			continue
 		}
@@ -259,7 +259,7 @@
 	for _, h := range p.stops {
 		pl.updateCapacity(h, job.Resources.Sub)
 		if pl.search.fitting >= len(d.Waiting) {
-			p.cost -= pl.preemptionCost(&pl.view.Holdings[h])
+			p.cost -= pl.preemptionCost(&pl.view.Allocations[h])
 			continue
 		}
 		pl.updateCapacity(h, job.Resources.Add)
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -10,89 +10,89 @@
 
 // View is the complete input of a decision.
 type View struct {
-	Now      time.Time
-	Workers  []Worker
-	Demands  []Demand
-	Holdings []Holding
-	Policy   Policy
+	Now         time.Time
+	Workers     []Worker
+	Demands     []Demand
+	Allocations []Allocation
+	Policy      Policy
 }
 
 // Policy holds the site's settings that affect decisions.
 type Policy struct {
 	// Factor on the run time of a task that is remote from its data, or of a gang spread across racks.
-	FarFactor float64
-	Reclaim   time.Duration // Time within which guaranteed work must start.
-	StopTime  time.Duration // Longest time that a stop takes.
-	WasteCost float64       // Cost of a core-second of lost work, in the unit of Demand.Value.
+	RemoteFactor         float64
+	GuaranteedStartLimit time.Duration // Time within which guaranteed work must start.
+	MaxStopTime          time.Duration // Longest time that a stop takes.
+	WasteCost            float64       // Cost of a core-second of lost work, in the unit of Demand.Value.
 }
 
 // Worker is the state of a worker as last observed by the scheduler.
 type Worker struct {
-	ID       string
-	Service  string
-	Rack     string
-	Labels   []string
-	Capacity job.Resources
-	Free     job.Resources // Capacity not used by any run whose end has not been reported.
-	Freeing  job.Resources // Capacity used by runs that are being stopped.
-	Usable   bool          // Accepts new runs.
-	Closed   bool          // No work may start in its hall.
-	Unproven bool          // Some workers fail every task at present, and no task has succeeded on this one since.
+	ID          string
+	Service     string
+	Rack        string
+	Labels      []string
+	Capacity    job.Resources
+	Free        job.Resources // Capacity not used by any run whose end has not been reported.
+	Freeing     job.Resources // Capacity used by runs that are being stopped.
+	AcceptsRuns bool          // Accepts new runs.
+	HallClosed  bool          // No work may start in its hall.
+	Unproven    bool          // Some workers fail every task at present, and no task has succeeded on this one since.
 	// Job suspected of crashing workers that has just started here, so that the outcome is unknown; empty
 	// for none.
-	Suspect  job.ID
-	Begun    job.ID  // Job that has just started here, suspected or not; empty for none.
-	Doubt    float64 // Failure score: 0 without recent failures; higher is worse.
-	Slowness float64 // Factor on the run time compared with other workers; 0 or 1 for a sound one.
+	SuspectJob   job.ID
+	JustStarted  job.ID  // Job that has just started here, suspected or not; empty for none.
+	FailureScore float64 // Failure score: 0 without recent failures; higher is worse.
+	Slowness     float64 // Factor on the run time compared with other workers; 0 or 1 for a sound one.
 }
 
 // Demand is a group of tasks that are ready to start.
 type Demand struct {
-	Job       job.ID
-	Group     job.Group
-	Workspace string
-	Service   string
-	Priority  int
-	Step      *job.Step
-	Waiting   []int           // Indexes of the waiting tasks.
-	Placed    map[string]int  // Number of tasks of this group that already run, by worker.
-	Avoid     map[string]bool // Workers on which it failed or could not start; others are tried first.
-	Since     time.Time       // Time since which it is ready to start.
-	Remaining time.Duration   // Expected time from its start to the end of the job.
-	Goal      time.Time       // Ending by this time earns the full value.
-	LastGoal  time.Time       // Ending by this time earns LateValue.
-	Value     float64         // Value that the job earns at most.
-	LateValue float64         // Value that the job earns between Goal and LastGoal.
-	Work      float64         // Expected core-seconds left in the job.
-	Covered   bool            // Within the guarantee of its workspace, and of priority 0.
-	Claim     map[int]string  // Capacity reserved for it: worker by task index.
-	Draining  bool            // Its reservation was made without preemption.
+	Job                       job.ID
+	Group                     job.Group
+	Workspace                 string
+	Service                   string
+	Priority                  int
+	Step                      *job.Step
+	Waiting                   []int           // Indexes of the waiting tasks.
+	Placed                    map[string]int  // Number of tasks of this group that already run, by worker.
+	Avoid                     map[string]bool // Workers on which it failed or could not start; others are tried first.
+	ReadySince                time.Time       // Time since which it is ready to start.
+	Remaining                 time.Duration   // Expected time from its start to the end of the job.
+	Goal                      time.Time       // Ending by this time earns the full value.
+	LastGoal                  time.Time       // Ending by this time earns LateValue.
+	Value                     float64         // Value that the job earns at most.
+	LateValue                 float64         // Value that the job earns between Goal and LastGoal.
+	Work                      float64         // Expected core-seconds left in the job.
+	Guaranteed                bool            // Within the guarantee of its workspace, and of priority 0.
+	Reservation               map[int]string  // Capacity reserved for it: worker by task index.
+	ReservedWithoutPreemption bool            // Its reservation was made without preemption.
 	// LastAttempts are the waiting tasks that have failed before and are not retried after the next
 	// failure. Of a gang it contains all tasks or none.
 	LastAttempts map[int]bool
 	// Anti-affinity: jobs that were lost together with it. It starts on other workers than they do where
 	// it can.
-	Apart   map[job.ID]bool
-	Suspect bool // Workers were lost as soon as its tasks had started there, so it may crash them.
+	AntiAffinity map[job.ID]bool
+	Suspect      bool // Workers were lost as soon as its tasks had started there, so it may crash them.
 	// So many losses count against its tasks that they must run where nothing else runs, so that the next loss
 	// shows whether they crash workers.
-	Alone  bool
-	NoPlan bool // A recent search for preemption found no plan.
+	Exclusive        bool
+	NoPreemptionPlan bool // A recent search for preemption found no plan.
 }
 
-// Holding is running work that can only be stopped as a whole: a gang or a single task.
-type Holding struct {
-	Job       job.ID
-	Group     job.Group
-	Priority  int
-	Covered   bool          // Within the guarantee of its workspace.
-	Stopping  bool          // Already being stopped.
-	Each      job.Resources // Resources of each task.
-	Places    []int         // Worker indexes in the view, one entry for each task.
-	Loss      float64       // Core-seconds of work that a stop throws away.
-	Risk      float64       // Value at risk from a restart.
-	Remaining time.Duration // Expected time to its end.
-	Known     bool          // Remaining comes from reported progress, not from declared run times.
+// Allocation is running work that can only be stopped as a whole: a gang or a single task.
+type Allocation struct {
+	Job               job.ID
+	Group             job.Group
+	Priority          int
+	Guaranteed        bool          // Within the guarantee of its workspace.
+	Stopping          bool          // Already being stopped.
+	Each              job.Resources // Resources of each task.
+	WorkerIndexes     []int         // Worker indexes in the view, one entry for each task.
+	LostWork          float64       // Core-seconds of work that a stop throws away.
+	ValueAtRisk       float64       // Value at risk from a restart.
+	Remaining         time.Duration // Expected time to its end.
+	RemainingReported bool          // Remaining comes from reported progress, not from declared run times.
 }
 
 // Start says on which workers tasks of a demand start.
@@ -103,16 +103,16 @@
 
 // Reservation reserves capacity that is coming free for a demand.
 type Reservation struct {
-	Demand   int            // Index of the demand.
-	Workers  map[int]string // Worker by task index.
-	Draining bool           // Nothing is preempted for it.
+	Demand            int            // Index of the demand.
+	Workers           map[int]string // Worker by task index.
+	WithoutPreemption bool           // Nothing is preempted for it.
 }
 
 // Outcome is the result of a decision.
 type Outcome struct {
-	Starts  []Start
-	Stops   []int // Indexes of the allocations to stop.
-	Claims  []Reservation
-	NoPlans []int // Indexes of the demands for which no preemption plan was found.
-	Dropped []int // Indexes of the demands whose reservations were used by other demands.
+	Starts              []Start
+	Stops               []int // Indexes of the allocations to stop.
+	Reservations        []Reservation
+	WithoutPlan         []int // Indexes of the demands for which no preemption plan was found.
+	DroppedReservations []int // Indexes of the demands whose reservations were used by other demands.
 }
--- a/internal/placement/patience.go
+++ b/internal/placement/wait.go
@@ -23,7 +23,7 @@
 	}
 	_, goal := pl.valueAtStake(d)
 	last := goal.Add(-time.Duration(runTimeMargin * float64(d.Remaining)))
-	return pl.view.Now.Add(pl.view.Policy.StopTime + preemptionLeadTime).After(last)
+	return pl.view.Now.Add(pl.view.Policy.MaxStopTime + preemptionLeadTime).After(last)
 }
 
 // rackWaitShare is the share of the start limit of guaranteed work for which it waits for capacity in one rack.
@@ -32,20 +32,20 @@
 // mustPreemptForGuarantee reports whether guaranteed work must preempt now to start within its limit:
 // capacity freed by a stop now is free about when the work would otherwise be spread over racks.
 func (pl *planner) mustPreemptForGuarantee(d *Demand) bool {
-	return d.Covered && pl.view.Now.Sub(d.Since) >= pl.rackWaitLimit()-pl.view.Policy.StopTime
+	return d.Guaranteed && pl.view.Now.Sub(d.ReadySince) >= pl.rackWaitLimit()-pl.view.Policy.MaxStopTime
 }
 
 // rackWaitLimit returns how long guaranteed work waits for capacity in one rack.
 func (pl *planner) rackWaitLimit() time.Duration {
-	return time.Duration(rackWaitShare * float64(pl.view.Policy.Reclaim))
+	return time.Duration(rackWaitShare * float64(pl.view.Policy.GuaranteedStartLimit))
 }
 
 // mustCrossRacks reports whether a gang must run slowly across several racks instead of waiting for one.
 // Guaranteed work must when its start limit is close, other work when it has waited too long while capacity is
 // ample.
 func (pl *planner) mustCrossRacks(d *Demand) bool {
-	if d.Covered {
-		return pl.view.Now.Sub(d.Since) >= pl.rackWaitLimit()
+	if d.Guaranteed {
+		return pl.view.Now.Sub(d.ReadySince) >= pl.rackWaitLimit()
 	}
 	return pl.waitedTooLong
 }
@@ -56,7 +56,7 @@
 
 // exceedsAmpleCapacityWait reports whether a demand has waited too long while capacity is ample.
 func (pl *planner) exceedsAmpleCapacityWait(d *Demand) bool {
-	return pl.view.Now.Sub(d.Since) >= ampleCapacityWaitLimit && pl.hasAmpleCapacity(d)
+	return pl.view.Now.Sub(d.ReadySince) >= ampleCapacityWaitLimit && pl.hasAmpleCapacity(d)
 }
 
 // hasAmpleCapacity reports whether less than half of the demand's service is in use, and the free capacity
@@ -87,9 +87,9 @@
 // isRunning reports whether any task of a job runs in the view.
 func (pl *planner) isRunning(id job.ID) bool {
 	if pl.runningJobs == nil {
-		pl.runningJobs = make(map[job.ID]bool, len(pl.view.Holdings))
-		for h := range pl.view.Holdings {
-			pl.runningJobs[pl.view.Holdings[h].Job] = true
+		pl.runningJobs = make(map[job.ID]bool, len(pl.view.Allocations))
+		for h := range pl.view.Allocations {
+			pl.runningJobs[pl.view.Allocations[h].Job] = true
 		}
 	}
 	return pl.runningJobs[id]
--- a/internal/placement/waits_test.go
+++ b/internal/placement/waits_test.go
@@ -47,7 +47,7 @@
 		w := &v.Workers[k]
 		free += w.Free.Cores()
 		total += w.Capacity.Cores()
-		pl.suitable[k] = w.Usable && (d.Step.Label == "" || len(w.Labels) > 0)
+		pl.suitable[k] = w.AcceptsRuns && (d.Step.Label == "" || len(w.Labels) > 0)
 		fitting += pl.fittingTasksOf(d, k, w.Free, need)
 	}
 	return fitting >= need && free > total/2
@@ -69,7 +69,7 @@
 	}
 	for k := range v.Workers {
 		w := &v.Workers[k]
-		if each, some := used[w.ID]; some && (!w.Usable || !w.Free.Fits(each)) {
+		if each, some := used[w.ID]; some && (!w.AcceptsRuns || !w.Free.Fits(each)) {
 			r.Fatalf("too much starts on %s", w.ID)
 		}
 	}
@@ -88,7 +88,7 @@
 			w.Labels = []string{"x"}
 		}
 		if sometimes("begun") {
-			w.Begun = job.ID(fmt.Sprint("h", pick("who", 3)))
+			w.JustStarted = job.ID(fmt.Sprint("h", pick("who", 3)))
 		}
 	}
 	d.Step.Gang, d.Step.RackLocal = rapid.Bool().Draw(r, "gang"), rapid.Bool().Draw(r, "local")
@@ -113,10 +113,10 @@
 		}
 	}
 	if sometimes("lost with") {
-		d.Apart = map[job.ID]bool{job.ID(fmt.Sprint("h", pick("who", 3))): true}
+		d.AntiAffinity = map[job.ID]bool{job.ID(fmt.Sprint("h", pick("who", 3))): true}
 	}
-	d.Suspect, d.Alone, d.Covered = sometimes("suspect"), sometimes("alone"), d.Priority == 0 && sometimes("covered")
-	d.Since = v.Now.Add(-ampleCapacityWaitLimit)
+	d.Suspect, d.Exclusive, d.Guaranteed = sometimes("suspect"), sometimes("alone"), d.Priority == 0 && sometimes("covered")
+	d.ReadySince = v.Now.Add(-ampleCapacityWaitLimit)
 	d.Remaining = time.Duration(pick("takes", 20)) * time.Second
 	d.Goal = v.Now.Add(time.Duration(pick("goal", 60)) * time.Second)
 	d.LastGoal = d.Goal.Add(time.Duration(pick("last goal", 60)) * time.Second)
@@ -129,13 +129,13 @@
 // drawReserved draws a gang with a reservation without preemption.
 func drawReserved(r *rapid.T, v *View) Demand {
 	d := Demand{
-		Job: "e", Service: "s", Priority: rapid.IntRange(1, 2).Draw(r, "priority"), Step: &job.Step{Gang: true, Each: gpus(8)}, Since: v.Now,
-		Goal: v.Now.Add(time.Duration(rapid.IntRange(0, 60).Draw(r, "goal")) * time.Second), Draining: true, Claim: map[int]string{}, Value: 1, Work: 1,
+		Job: "e", Service: "s", Priority: rapid.IntRange(1, 2).Draw(r, "priority"), Step: &job.Step{Gang: true, Each: gpus(8)}, ReadySince: v.Now,
+		Goal: v.Now.Add(time.Duration(rapid.IntRange(0, 60).Draw(r, "goal")) * time.Second), ReservedWithoutPreemption: true, Reservation: map[int]string{}, Value: 1, Work: 1,
 	}
 	d.LastGoal = d.Goal.Add(time.Minute)
 	for k := range v.Workers {
 		if d.Waiting = append(d.Waiting, k); rapid.Bool().Draw(r, "drains") {
-			d.Claim[k] = v.Workers[k].ID
+			d.Reservation[k] = v.Workers[k].ID
 		}
 	}
 	d.Waiting = append(d.Waiting, len(v.Workers)) // One task more than could ever fit.
--- a/internal/pledge/plan.go
+++ b/internal/pledge/plan.go
@@ -32,8 +32,8 @@
 	return 0
 }
 
-// Condition limits the workers on which a plan may put pledges.
-type Condition struct {
+// Constraints limits the workers on which a plan may put pledges.
+type Constraints struct {
 	Failed    map[string]bool // Workers that get no pledges.
 	Protected map[string]int  // Accelerators in use by work that cannot be stopped, by worker.
 }
@@ -49,7 +49,7 @@
 // do not all fit. It is deterministic: the largest blocks go first, each to the rack where it needs the fewest workers,
 // then to the one with the least capacity left, then by hash. With a nil condition it keeps the site's reserve free in
 // every hall; with a condition the reserve may be used.
-func Plan(site *contract.Site, condition *Condition) (Layout, finding.List) {
+func Plan(site *contract.Site, condition *Constraints) (Layout, finding.List) {
 	p := newPlanner(site, condition)
 	var findings finding.List
 	for _, b := range blocks(site) {
@@ -95,7 +95,7 @@
 }
 
 // newPlanner returns the capacity without pledges. A nil condition subtracts the reserve of the site from each hall.
-func newPlanner(site *contract.Site, condition *Condition) *planner {
+func newPlanner(site *contract.Site, condition *Constraints) *planner {
 	p := &planner{site: site, layout: Layout{}, freeByWorker: map[string]int{}, freeByHall: map[string]int{}}
 	for _, h := range site.Halls {
 		total := 0
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -31,9 +31,9 @@
 
 // Service is a pool of identical workers.
 type Service struct {
-	Name   string
-	Guards bool // Its workers reject tasks that do not fit.
-	Spare  bool // Its machines are powered off until moved to another pool.
+	Name           string
+	AdmissionCheck bool // Its workers reject tasks that do not fit.
+	Spare          bool // Its machines are powered off until moved to another pool.
 }
 
 // Workspace is a customer with guaranteed capacity.
--- a/internal/relay/cache_test.go
+++ b/internal/relay/cache_test.go
@@ -57,14 +57,14 @@
 		s := newSite(ctx, 12)
 		var last *Store
 		for _, b := range s.boxes {
-			if b.Book.IsWatcher() {
-				s.network.Cut(b.Book.Box)
+			if b.Directory.IsWatcher() {
+				s.network.Cut(b.Directory.Box)
 			} else {
 				last = b
 			}
 		}
-		s.store.SetSlow(300 * time.Millisecond)
-		f := &Follower{Store: last, Book: &last.Book, Network: last.Network, MaxAge: time.Second}
+		s.store.SetLatency(300 * time.Millisecond)
+		f := &Follower{Store: last, Directory: &last.Directory, Network: last.Network, MaxAge: time.Second}
 		failed := 0
 		for range 20 {
 			bounded, stop := context.WithTimeout(ctx, 700*time.Millisecond)
--- a/internal/relay/candidate.go
+++ b/internal/relay/candidate.go
@@ -35,7 +35,7 @@
 )
 
 // refreshCandidatesPeriodically calls refreshCandidates at every announceInterval until ctx ends.
-func (b *Book) refreshCandidatesPeriodically(ctx context.Context, s store.Store, log *zap.Logger) {
+func (b *PeerDirectory) refreshCandidatesPeriodically(ctx context.Context, s store.Store, log *zap.Logger) {
 	interval.Sleep(ctx, candidatesDelay+b.Phase(candidatesSpread))
 	for pause := b.firstInterval(); ctx.Err() == nil; pause = announceInterval {
 		if err := b.refreshCandidates(ctx, s, log); err != nil {
@@ -46,18 +46,18 @@
 }
 
 // candidatePart returns the part of the store that holds the rows of the hall's candidates.
-func (b *Book) candidatePart() string { return "hall/" + b.Hall }
+func (b *PeerDirectory) candidatePart() string { return "hall/" + b.Hall }
 
 // candidateKey returns the key of this box's row among the candidates of its hall. The rows sort by takeover time, the
 // shortest first. Rows with equal times sort by the hash of the box's name. Boxes that start together also read the
 // candidates in the order of their hashes, so that few announce themselves and are then displaced by a better one.
-func (b *Book) candidateKey() store.Key {
-	return store.Key{Table: tableBoxes, Part: b.candidatePart(), Name: fmt.Sprintf("%010d/%016x/%s", b.Takeover.Milliseconds(), b.hash(), b.Box)}
+func (b *PeerDirectory) candidateKey() store.Key {
+	return store.Key{Table: tableBoxes, Part: b.candidatePart(), Name: fmt.Sprintf("%010d/%016x/%s", b.TakeoverTime.Milliseconds(), b.hash(), b.Box)}
 }
 
 // refreshCandidates reads the candidates of the hall. If this box's rank is below candidatesWanted, it announces this
 // box as a candidate and deletes the rows of candidates that are gone.
-func (b *Book) refreshCandidates(ctx context.Context, s store.Store, log *zap.Logger) error {
+func (b *PeerDirectory) refreshCandidates(ctx context.Context, s store.Store, log *zap.Logger) error {
 	page, err := s.Read(ctx, store.Range{Table: tableBoxes, Part: b.candidatePart(), Limit: maxCandidateRows})
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 
 // updateCandidates replaces the list of candidates. It returns a transaction that deletes the rows of candidates that
 // are gone or have a newer row.
-func (b *Book) updateCandidates(rows []store.Row, log *zap.Logger) *store.Transaction {
+func (b *PeerDirectory) updateCandidates(rows []store.Row, log *zap.Logger) *store.Transaction {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := map[string]*candidate{}
@@ -117,7 +117,7 @@
 }
 
 // logCandidates logs the names of the live candidates if the list of candidates differs from known.
-func (b *Book) logCandidates(known map[string]*candidate, log *zap.Logger) {
+func (b *PeerDirectory) logCandidates(known map[string]*candidate, log *zap.Logger) {
 	var names []string
 	changed := len(known) != len(b.candidates)
 	for _, c := range b.candidates {
@@ -134,19 +134,19 @@
 // isLive reports whether the candidate's row was seen to change within candidateExpiry.
 func (c *candidate) isLive() bool { return time.Since(c.renewed) <= candidateExpiry }
 
-// Ranked reports whether the candidates of the hall were read at least once.
-func (b *Book) Ranked() bool {
+// CandidatesKnown reports whether the candidates of the hall were read at least once.
+func (b *PeerDirectory) CandidatesKnown() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.candidatesKnown
 }
 
 // IsWatcher reports whether this box watches the store for the other boxes of its hall.
-func (b *Book) IsWatcher() bool { return b.Ranked() && b.Rank() < b.Watchers }
+func (b *PeerDirectory) IsWatcher() bool { return b.CandidatesKnown() && b.Rank() < b.Watchers }
 
 // Rank returns the number of live candidates of the hall that are preferred to this box as scheduler. It returns 0
 // while the candidates are not known.
-func (b *Book) Rank() int {
+func (b *PeerDirectory) Rank() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.candidateKey().Name
@@ -161,7 +161,7 @@
 
 // watcherAddress returns the address of a box that watches the store for the hall; successive values of n go through
 // all of them in turn. It returns an empty string if none is known.
-func (b *Book) watcherAddress(n int) string {
+func (b *PeerDirectory) watcherAddress(n int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var addresses []string
--- a/internal/relay/book.go
+++ b/internal/relay/directory.go
@@ -17,17 +17,17 @@
 	"go.uber.org/zap"
 )
 
-// Book keeps the addresses of some other boxes of the site: those whose rows follow this box's own, and the
+// PeerDirectory keeps the addresses of some other boxes of the site: those whose rows follow this box's own, and the
 // candidates of its hall. The rows lie in random order. A box reads and keeps the same amount however many boxes
 // there are. Set the exported fields before use.
-type Book struct {
-	Box      string        // Name of this box.
-	Hall     string        // Hall of this box.
-	Address  string        // IP:port where it forwards calls; empty if it forwards none.
-	Takeover time.Duration // How long this box would need for a takeover as scheduler; ranks the boxes.
-	Watchers int           // Number of boxes of a hall that watch the store for the others.
-	// Twin is called with the address of a duplicate box when its row is found in place of this box's; may be nil.
-	Twin func(address string)
+type PeerDirectory struct {
+	Box          string        // Name of this box.
+	Hall         string        // Hall of this box.
+	Address      string        // IP:port where it forwards calls; empty if it forwards none.
+	TakeoverTime time.Duration // How long this box would need for a takeover as scheduler; ranks the boxes.
+	Watchers     int           // Number of boxes of a hall that watch the store for the others.
+	// OnDuplicate is called with the address of a duplicate box when its row is found in place of this box's; may be nil.
+	OnDuplicate func(address string)
 
 	announced bool // This box's row was written, or may have been.
 
@@ -80,7 +80,7 @@
 )
 
 // run writes this box's address and reads those of the others periodically until ctx ends.
-func (b *Book) run(ctx context.Context, s store.Store, log *zap.Logger) {
+func (b *PeerDirectory) run(ctx context.Context, s store.Store, log *zap.Logger) {
 	go b.refreshCandidatesPeriodically(ctx, s, log)
 	if !b.announceUntilAccepted(ctx, s, log) {
 		return
@@ -97,12 +97,14 @@
 
 // firstInterval returns the time between the first two announcements. It depends on the box's name, so that boxes that
 // start together announce themselves at different times from then on.
-func (b *Book) firstInterval() time.Duration { return announceInterval - b.Phase(announceInterval/2) }
+func (b *PeerDirectory) firstInterval() time.Duration {
+	return announceInterval - b.Phase(announceInterval/2)
+}
 
 // announceUntilAccepted repeats the announcement until the store accepts it. It returns false if ctx ends before that.
 // A write without an answer counts as accepted: the store is busy when many boxes start, and mostly carries it out.
 // The next read finds out, and writes the row again if it is missing.
-func (b *Book) announceUntilAccepted(ctx context.Context, s store.Store, log *zap.Logger) bool {
+func (b *PeerDirectory) announceUntilAccepted(ctx context.Context, s store.Store, log *zap.Logger) bool {
 	for retry := announceRetry; ctx.Err() == nil; retry = min(2*retry, maxAnnounceRetry) {
 		err := b.announce(ctx, s, b.ownKey())
 		if err == nil || errors.Is(err, store.ErrUnknown) {
@@ -117,32 +119,32 @@
 
 // Phase returns a duration from 0 to period that depends only on the box's name, so that boxes that wait for it don't
 // all act at the same time.
-func (b *Book) Phase(period time.Duration) time.Duration {
+func (b *PeerDirectory) Phase(period time.Duration) time.Duration {
 	return time.Duration(float64(period) * float64(b.hash()) / math.MaxUint64)
 }
 
-func (b *Book) hash() uint64 { return xxhash.Sum64String(b.Box) }
+func (b *PeerDirectory) hash() uint64 { return xxhash.Sum64String(b.Box) }
 
 // ownKey returns the key of this box's row. The hash in it puts the rows in random order, so that neighbouring rows
 // belong to boxes of different halls.
-func (b *Book) ownKey() store.Key {
+func (b *PeerDirectory) ownKey() store.Key {
 	return store.Key{Table: tableBoxes, Part: partBoxes, Name: fmt.Sprintf("%016x/%s", b.hash(), b.Box)}
 }
 
 // announce writes a row of this box under key: its address, the time of writing (Unix time in ms), the expected time
 // of a takeover (ms) and its hall. It does nothing for a box without an address.
-func (b *Book) announce(ctx context.Context, s store.Store, key store.Key) error {
+func (b *PeerDirectory) announce(ctx context.Context, s store.Store, key store.Key) error {
 	if b.Address == "" {
 		return nil
 	}
-	value := fmt.Sprintf("%s %d %d %s", b.Address, time.Now().UnixMilli(), b.Takeover.Milliseconds(), b.Hall)
+	value := fmt.Sprintf("%s %d %d %s", b.Address, time.Now().UnixMilli(), b.TakeoverTime.Milliseconds(), b.Hall)
 	_, err := s.Commit(ctx, &store.Transaction{Writes: []store.Row{{Key: key, Value: []byte(value)}}, Patient: true})
 	return err
 }
 
 // refreshPeers reads the rows that follow this box's own, deletes the stale ones, and writes this box's row again if it
 // is missing.
-func (b *Book) refreshPeers(ctx context.Context, s store.Store, log *zap.Logger) {
+func (b *PeerDirectory) refreshPeers(ctx context.Context, s store.Store, log *zap.Logger) {
 	rows, err := b.readPeerRows(ctx, s)
 	if err != nil {
 		log.Warn("relay: unable to read the addresses of other boxes; keeping the known ones", logsink.Error(err))
@@ -157,8 +159,8 @@
 		switch {
 		case a.box == b.Box:
 			own = true
-			if b.Address != "" && a.address != b.Address && b.Twin != nil {
-				b.Twin(a.address)
+			if b.Address != "" && a.address != b.Address && b.OnDuplicate != nil {
+				b.OnDuplicate(a.address)
 			}
 		case time.Since(a.written) > staleRowAge:
 			deleteUnchanged(&old, row)
@@ -180,7 +182,7 @@
 
 // readPeerRows reads this box's row and the peersKept rows that follow it. After the last row it continues with the
 // first.
-func (b *Book) readPeerRows(ctx context.Context, s store.Store) ([]store.Row, error) {
+func (b *PeerDirectory) readPeerRows(ctx context.Context, s store.Store) ([]store.Row, error) {
 	own := b.ownKey().Name
 	page, err := s.Read(ctx, store.Range{Table: tableBoxes, Part: partBoxes, From: own, Limit: peersKept + 1})
 	if err != nil || len(page.Rows) > peersKept {
@@ -230,7 +232,7 @@
 }
 
 // replacePeers replaces the list of peers, and keeps the call results of those that were in it before.
-func (b *Book) replacePeers(found []*peer, log *zap.Logger) {
+func (b *PeerDirectory) replacePeers(found []*peer, log *zap.Logger) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := map[string]*peer{}
@@ -256,7 +258,7 @@
 // choosePeers returns up to n peers that are not backing off. If n or more are backing off, the store itself is likely
 // unreachable, and it returns at most one. Each box starts at a different peer, so that boxes that are cut off together
 // don't all call the same one.
-func (b *Book) choosePeers(n int) []*peer {
+func (b *PeerDirectory) choosePeers(n int) []*peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -280,7 +282,7 @@
 
 // recordResult records the outcome of a call through a peer. After a failure the peer is not called for peerBackoff,
 // and the next call starts at the following peer.
-func (b *Book) recordResult(ctx context.Context, p *peer, err error, log *zap.Logger) {
+func (b *PeerDirectory) recordResult(ctx context.Context, p *peer, err error, log *zap.Logger) {
 	failed := errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknown)
 	if failed && errors.Is(ctx.Err(), context.Canceled) {
 		return // The caller gave up.
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -14,9 +14,9 @@
 // itself. It is for one goroutine. Set the exported fields before use.
 type Follower struct {
 	store.Store // For all other calls, and for reads that no watcher answers.
-	Book        *Book
+	Directory   *PeerDirectory
 	Network     Network
-	Figures     *measure.Figures
+	Figures     *measure.Metrics
 	Wait        time.Duration // How long a watcher may delay its answer while the rows are unchanged.
 	MaxAge      time.Duration // Maximum age of rows that a watcher has read.
 
@@ -49,7 +49,7 @@
 
 // Read implements store.Store.
 func (f *Follower) Read(ctx context.Context, r store.Range) (store.Page, error) {
-	if address := f.Book.watcherAddress(f.watcherIndex); address != "" && time.Since(f.lastFailure) > copyBackoff {
+	if address := f.Directory.watcherAddress(f.watcherIndex); address != "" && time.Since(f.lastFailure) > copyBackoff {
 		page, err := f.copyFrom(ctx, address, r)
 		if f.lastCopied = err == nil; f.lastCopied {
 			f.Figures.Count("follower_copied")
--- a/internal/relay/watched.go
+++ b/internal/relay/monitored.go
@@ -41,13 +41,13 @@
 	latencyGrowth = 1.5
 )
 
-// Watched wraps a store. From the outcome of the calls it derives whether the store can be reached, and the timeout of
+// MonitoredStore wraps a store. From the outcome of the calls it derives whether the store can be reached, and the timeout of
 // further calls.
-type Watched struct {
+type MonitoredStore struct {
 	store.Store
 	Path    string // Name of the path to the store, for logs and metrics.
 	Log     *zap.Logger
-	Figures *measure.Figures // May be nil.
+	Figures *measure.Metrics // May be nil.
 
 	mu             sync.Mutex
 	latency        time.Duration         // Recent latency: the slowest answer, decaying with each faster one.
@@ -59,7 +59,7 @@
 }
 
 // Healthy reports whether the store can be reached, judging by the last calls. It is false before the first answer.
-func (w *Watched) Healthy() bool {
+func (w *MonitoredStore) Healthy() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.healthy()
@@ -67,22 +67,22 @@
 
 // Suspect reports whether the last call got no answer, and no other call was answered within the current timeout. The
 // next call should then take another path, if there is one.
-func (w *Watched) Suspect() bool {
+func (w *MonitoredStore) Suspect() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lastUnanswered && time.Since(w.lastAnswer) > w.timeoutLocked()
 }
 
-// Out reports whether the store is unhealthy and no call was answered for maxSilence, so that a new call would likely
+// Unreachable reports whether the store is unhealthy and no call was answered for maxSilence, so that a new call would likely
 // fail. It returns false if only some parts of the store are down.
-func (w *Watched) Out() bool {
+func (w *MonitoredStore) Unreachable() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.healthy() && time.Since(w.lastAnswer) > maxSilence
 }
 
 // healthy implements Healthy; the caller holds mu.
-func (w *Watched) healthy() bool {
+func (w *MonitoredStore) healthy() bool {
 	if w.lastAnswer.IsZero() || w.failures >= maxFailures && time.Since(w.lastAnswer) > failureQuietTime {
 		return false
 	}
@@ -101,7 +101,7 @@
 }
 
 // Commit implements store.Store.
-func (w *Watched) Commit(ctx context.Context, tx *store.Transaction) (int64, error) {
+func (w *MonitoredStore) Commit(ctx context.Context, tx *store.Transaction) (int64, error) {
 	done := w.beginCall("commit", tableOf(tx))
 	timeout := w.timeout()
 	if tx.Patient {
@@ -130,19 +130,19 @@
 }
 
 // timeout returns how long to wait for the answer to a transaction or to the read of a single row.
-func (w *Watched) timeout() time.Duration {
+func (w *MonitoredStore) timeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.timeoutLocked()
 }
 
 // timeoutLocked implements timeout; the caller holds mu.
-func (w *Watched) timeoutLocked() time.Duration {
+func (w *MonitoredStore) timeoutLocked() time.Duration {
 	return min(max(timeoutFactor*w.latency, minTimeout), maxTimeout)
 }
 
 // recordLatency updates the recent latency after a call that took a time; failed calls raise it by latencyGrowth.
-func (w *Watched) recordLatency(took time.Duration, failed bool) {
+func (w *MonitoredStore) recordLatency(took time.Duration, failed bool) {
 	if failed {
 		w.latency = min(time.Duration(latencyGrowth*float64(w.latency)), maxTimeout/timeoutFactor)
 		return
@@ -151,7 +151,7 @@
 }
 
 // Read implements store.Store.
-func (w *Watched) Read(ctx context.Context, r store.Range) (store.Page, error) {
+func (w *MonitoredStore) Read(ctx context.Context, r store.Range) (store.Page, error) {
 	done := w.beginCall("read", r.Table)
 	within := ctx
 	if r.Limit == 1 { // Longer pages may take long on a slow link.
@@ -167,7 +167,7 @@
 
 // Watch implements store.Store. Its outcome does not affect the health of the path, as an answer may come late just
 // because there are no changes.
-func (w *Watched) Watch(ctx context.Context, table string, since int64, wait time.Duration) (store.Page, error) {
+func (w *MonitoredStore) Watch(ctx context.Context, table string, since int64, wait time.Duration) (store.Page, error) {
 	w.Figures.Count(w.Path + "_watch_" + table)
 	page, err := w.Store.Watch(ctx, table, since, wait)
 	w.countBytes("read", page.Rows)
@@ -175,14 +175,14 @@
 }
 
 // countBytes adds the size of the rows' values to the metrics, by table.
-func (w *Watched) countBytes(what string, rows []store.Row) {
+func (w *MonitoredStore) countBytes(what string, rows []store.Row) {
 	for i := range rows {
 		w.Figures.Add(w.Path+"_bytes_"+what+"_"+rows[i].Table, int64(len(rows[i].Value)))
 	}
 }
 
 // beginCall records the start of a call on a table. It returns the function that records its outcome.
-func (w *Watched) beginCall(what, table string) func(ctx context.Context, err error) {
+func (w *MonitoredStore) beginCall(what, table string) func(ctx context.Context, err error) {
 	began := time.Now()
 	w.Figures.Count(w.Path + "_" + what + "_" + table)
 	w.mu.Lock()
@@ -195,7 +195,7 @@
 }
 
 // endCall records the outcome of a call: its duration, its error and whether the store can be reached.
-func (w *Watched) endCall(ctx context.Context, began *time.Time, what string, err error) {
+func (w *MonitoredStore) endCall(ctx context.Context, began *time.Time, what string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.inFlight, began)
@@ -203,7 +203,7 @@
 	if failed && errors.Is(ctx.Err(), context.Canceled) {
 		return // The caller cancelled the call; the store has not failed.
 	}
-	w.Figures.Took(w.Path+"_"+what, time.Since(*began))
+	w.Figures.ObserveDuration(w.Path+"_"+what, time.Since(*began))
 	w.recordLatency(time.Since(*began), failed)
 	w.lastUnanswered = errors.Is(err, store.ErrUnknown)
 	if failed {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -29,11 +29,11 @@
 // Store calls the platform's store over the direct path, or through other boxes while that path is down. Set the
 // exported fields before use.
 type Store struct {
-	Direct  Watched
-	Network Network // nil to call no other boxes.
-	Book    Book
-	Log     *zap.Logger
-	Figures *measure.Figures // May be nil.
+	Direct    MonitoredStore
+	Network   Network // nil to call no other boxes.
+	Directory PeerDirectory
+	Log       *zap.Logger
+	Figures   *measure.Metrics // May be nil.
 
 	probes int // Number of probes so far.
 }
@@ -59,7 +59,7 @@
 // Run probes the direct path while it is down, and keeps the directory of boxes up to date, until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	go interval.Every(ctx, probeInterval, s.probe)
-	s.Book.run(ctx, s, s.Log)
+	s.Directory.run(ctx, s, s.Log)
 }
 
 // probe reads a row over the direct path if that path is down. Direct records the outcome.
@@ -115,8 +115,8 @@
 	for _, p := range s.peers() {
 		began := time.Now()
 		err := f(s.Network.Peer(p.address))
-		s.Figures.Took("relay_call", time.Since(began))
-		s.Book.recordResult(ctx, p, err, s.Log)
+		s.Figures.ObserveDuration("relay_call", time.Since(began))
+		s.Directory.recordResult(ctx, p, err, s.Log)
 		if !errors.Is(err, store.ErrRefused) {
 			return err
 		}
@@ -135,7 +135,7 @@
 	if s.Network == nil {
 		return nil
 	}
-	return s.Book.choosePeers(maxPeerAttempts)
+	return s.Directory.choosePeers(maxPeerAttempts)
 }
 
 // Shared returns what this box serves to others: calls to the store over the direct path alone, and copies of the pages
@@ -146,8 +146,8 @@
 // last call got no answer.
 type shared struct {
 	store.Replica
-	direct  *Watched
-	figures *measure.Figures
+	direct  *MonitoredStore
+	figures *measure.Metrics
 }
 
 // checkDirectPath returns store.ErrUnreachable if calls can't be forwarded now.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -28,8 +28,8 @@
 	for i := range n {
 		name, gate := "box-"+strconv.Itoa(i), &emulator.Gate{}
 		b := &Store{
-			Direct:  Watched{Store: s.store.For(name, gate), Path: PathDirect, Log: zap.NewNop(), Figures: &measure.Figures{}},
-			Network: s.network.For(name, gate), Book: Book{Box: name, Address: name, Watchers: 2}, Log: zap.NewNop(),
+			Direct:  MonitoredStore{Store: s.store.For(name, gate), Path: PathDirect, Log: zap.NewNop(), Figures: &measure.Metrics{}},
+			Network: s.network.For(name, gate), Directory: PeerDirectory{Box: name, Address: name, Watchers: 2}, Log: zap.NewNop(),
 		}
 		s.network.Serve(name, b.Shared(&Cache{Store: b}), gate)
 		s.boxes = append(s.boxes, b)
@@ -121,7 +121,7 @@
 		calls := func() int64 {
 			sum := int64(0)
 			for _, b := range s.boxes {
-				sum += b.Direct.Figures.Counted(PathDirect + "_commit_t")
+				sum += b.Direct.Figures.CounterValue(PathDirect + "_commit_t")
 			}
 			return sum
 		}
@@ -167,7 +167,7 @@
 		page, err := s.boxes[1].Read(ctx, store.Range{Table: tableBoxes, Part: partBoxes})
 		quicktest.Assert(t, err, quicktest.IsNil)
 		quicktest.Assert(t, page.Rows, quicktest.HasLen, 3)
-		quicktest.Assert(t, s.boxes[0].Book.choosePeers(10), quicktest.HasLen, 2)
+		quicktest.Assert(t, s.boxes[0].Directory.choosePeers(10), quicktest.HasLen, 2)
 	})
 }
 
@@ -181,7 +181,7 @@
 			time.Sleep(2 * time.Minute)
 			low, all := 0, map[string]int64{}
 			for i, b := range s.boxes {
-				if b.Book.Rank() < candidatesWanted {
+				if b.Directory.Rank() < candidatesWanted {
 					low++
 				}
 				counted := b.Direct.Figures.Counters(PathDirect + "_")
@@ -189,7 +189,7 @@
 					all[name] += n
 				}
 				comment := quicktest.Commentf("box %d of %d: %v", i, boxes, counted)
-				quicktest.Check(t, len(b.Book.choosePeers(boxes)), quicktest.Equals, peersKept, comment)
+				quicktest.Check(t, len(b.Directory.choosePeers(boxes)), quicktest.Equals, peersKept, comment)
 				quicktest.Check(t, counted["read_boxes"] <= 32, quicktest.IsTrue, comment)
 				quicktest.Check(t, counted["bytes_read_boxes"] <= 10<<10, quicktest.IsTrue, comment)
 			}
@@ -206,15 +206,15 @@
 // order of the boxes' hashes. Candidates that no longer announce themselves must not count.
 func TestCandidatesAreRanked(t *testing.T) {
 	runWithThreeBoxes(t, func(_ context.Context, t *testing.T, s *site) {
-		s.boxes[0].Book.Takeover = time.Second
+		s.boxes[0].Directory.TakeoverTime = time.Second
 		time.Sleep(2*announceInterval + time.Second)
-		quicktest.Assert(t, s.boxes[0].Book.Rank(), quicktest.Equals, 2)
-		quicktest.Assert(t, s.boxes[1].Book.Rank(), quicktest.Equals, 0)
-		quicktest.Assert(t, s.boxes[2].Book.Rank(), quicktest.Equals, 1)
+		quicktest.Assert(t, s.boxes[0].Directory.Rank(), quicktest.Equals, 2)
+		quicktest.Assert(t, s.boxes[1].Directory.Rank(), quicktest.Equals, 0)
+		quicktest.Assert(t, s.boxes[2].Directory.Rank(), quicktest.Equals, 1)
 		s.store.Cut("box-1")
 		s.network.Cut("box-1")
 		time.Sleep(candidateExpiry + 2*announceInterval)
-		quicktest.Assert(t, s.boxes[2].Book.Rank(), quicktest.Equals, 0)
+		quicktest.Assert(t, s.boxes[2].Directory.Rank(), quicktest.Equals, 0)
 	})
 }
 
--- a/internal/relay/rows_test.go
+++ b/internal/relay/rows_test.go
@@ -56,7 +56,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		rows := emulator.NewStore(1).For("box-1", &emulator.Gate{})
-		b := &Book{Box: "box-1", Hall: "hall-1", Address: "10.0.0.1:80", Takeover: 1500 * time.Millisecond}
+		b := &PeerDirectory{Box: "box-1", Hall: "hall-1", Address: "10.0.0.1:80", TakeoverTime: 1500 * time.Millisecond}
 		began := time.Now()
 		quicktest.Assert(t, b.announce(ctx, rows, b.ownKey()), quicktest.IsNil)
 		page, err := rows.Read(ctx, store.Range{Table: "boxes", Part: "boxes"})
--- a/internal/rig/client.go
+++ b/internal/rig/client.go
@@ -118,7 +118,7 @@
 	p.mu.Unlock()
 	for _, v := range []int{version, version - 1} {
 		sent := time.Now()
-		accepted, known := standin.Knows(c, b.front, standin.GuestKey(v))
+		accepted, known := standin.AcceptsKey(c, b.front, standin.GuestKey(v))
 		if known && v > 0 {
 			p.mu.Lock()
 			p.probes = append(p.probes, probe{b.name, sent, v, accepted})
--- a/internal/rig/promises.go
+++ b/internal/rig/promises.go
@@ -103,7 +103,7 @@
 		return
 	}
 	v.Checked++
-	if j := p.jobOf(run); run.outcome == job.GangMissing.String() && !(j.cancelSent && j.cancelledAt.Before(run.ended)) {
+	if j := p.jobOf(run); run.outcome == job.GangTimedOut.String() && !(j.cancelSent && j.cancelledAt.Before(run.ended)) {
 		v.IncompleteGangs = append(v.IncompleteGangs, run.String())
 	}
 }
--- a/internal/rig/role.go
+++ b/internal/rig/role.go
@@ -119,7 +119,7 @@
 				s.Record(first, []byte(more))
 				return nil
 			}
-			return s.Disturb(word, first)
+			return s.InjectFault(word, first)
 		}
 		return execute, serve(s.Handler(), out)
 	case "worker":
@@ -184,7 +184,7 @@
 	record.Capacity = job.Resources{MilliCPU: r.Slots * taskResources.MilliCPU, MemoryMB: r.Slots * taskResources.MemoryMB}
 	w.control.Fleet = emulator.NewFleet(ctx, r.Lease, time.Second)
 	w.control.Fleet.Observe = w.observe
-	w.control.Listed = func(n int64) { out.print(Line{Worker: r.Worker, Event: eventListed, Number: n}) }
+	w.control.EndsSent = func(n int64) { out.print(Line{Worker: r.Worker, Event: eventListed, Number: n}) }
 	w.control.Fleet.SetDrift(r.Drift)
 	*record = w.control.Fleet.Add(*record)
 	return w
@@ -192,7 +192,7 @@
 
 // eventNames maps the emulator's events to the values of Line.Event.
 var eventNames = map[emulator.EventKind]string{
-	emulator.Began: eventBegan, emulator.Ended: eventEnded, emulator.Acknowledged: eventAcknowledged, emulator.Leased: eventLeased,
+	emulator.Began: eventBegan, emulator.Ended: eventEnded, emulator.Acknowledged: eventAcknowledged, emulator.LeaseChanged: eventLeased,
 }
 
 // observe prints an event of the emulator. It ends the process when the worker is leaving and its last run has
@@ -253,20 +253,23 @@
 		w.update(func() { w.silent = false })
 		w.printRecord()
 	case "drain": // It announces that it leaves after a time.
-		w.update(func() { w.control.Record.Draining = true; w.control.Record.Leaves, err = time.ParseDuration(argument) })
+		w.update(func() {
+			w.control.Record.Draining = true
+			w.control.Record.TimeLeft, err = time.ParseDuration(argument)
+		})
 		w.printRecord()
 	case "leave":
 		w.leave()
 	case "leave_after_end": // Its process ends this long after its last run.
 		w.update(func() { w.leaveDelay, err = time.ParseDuration(argument) })
 	case "mute": // This many polls get no answer.
-		return w.control.Fleet.Mute(id, number)
+		return w.control.Fleet.DropAnswers(id, number)
 	case "late": // This many commands get no answer and are executed late.
-		return w.control.Fleet.Late(id, number)
+		return w.control.Fleet.DelayCommands(id, number)
 	case "member":
 		return w.applyMemberEvent(argument)
 	case "fail":
-		return w.control.Fleet.Fail(id, argument == "on")
+		return w.control.Fleet.FailRuns(id, argument == "on")
 	default:
 		return errors.Errorf("rig: unknown command of a worker: %q", line)
 	}
@@ -287,7 +290,7 @@
 	if l.Outcome == job.Succeeded.String() {
 		e.Outcome = job.Succeeded
 	}
-	w.control.Fleet.Tell(e)
+	w.control.Fleet.ApplyRemoteEvent(e)
 	return err
 }
 
@@ -305,7 +308,7 @@
 		return
 	}
 	w.sequence++
-	record, err := standin.RecordOf(&w.control.Record, w.sequence)
+	record, err := standin.EncodeRecord(&w.control.Record, w.sequence)
 	if err != nil {
 		panic(err) // The record holds only numbers and strings, which can always be encoded.
 	}
--- a/internal/scheduler/addresses.go
+++ b/internal/scheduler/addresses.go
@@ -13,14 +13,14 @@
 	previous ledger.Addresses // As the predecessor wrote them.
 	stale    map[int]bool     // Rows that have to be written.
 	// Some did not fit into the last batch; the next one does not wait for a heartbeat.
-	left bool
+	leftOver bool
 }
 
 // begin takes over the predecessor's addresses. All rows are written again, as some of the incarnations in them
 // may have ended.
 func (a *addresses) begin(before ledger.Addresses) {
 	a.previous = before
-	for row := range ledger.AddressRows {
+	for row := range ledger.AddressRowCount {
 		a.touch(row)
 	}
 }
@@ -49,10 +49,10 @@
 		b.Addresses[row] = ledger.Addresses{}
 		delete(h.addresses.stale, row)
 	}
-	h.addresses.left = len(h.addresses.stale) > 0
+	h.addresses.leftOver = len(h.addresses.stale) > 0
 	for id, w := range h.workers {
 		if row := b.Addresses[ledger.AddressRow(id)]; row != nil && w.target().Address != "" {
-			row[w.life] = cmp.Or(w.home, w.target().Address)
+			row[w.incarnation] = cmp.Or(w.knownAddress, w.target().Address)
 		}
 	}
 }
--- a/internal/scheduler/addresses_test.go
+++ b/internal/scheduler/addresses_test.go
@@ -14,12 +14,12 @@
 	h := newShard(t.Context(), &Scheduler{}, nil)
 	h.addresses.begin(nil)
 	written := 0
-	for n := range ledger.AddressRows / ledger.MaxAddressRows {
-		quicktest.Assert(t, h.addresses.left, quicktest.Equals, n > 0)
+	for n := range ledger.AddressRowCount / ledger.MaxAddressRows {
+		quicktest.Assert(t, h.addresses.leftOver, quicktest.Equals, n > 0)
 		b := &ledger.Batch{}
 		h.collectAddresses(b)
 		written += len(b.Addresses)
 	}
-	quicktest.Assert(t, written, quicktest.Equals, ledger.AddressRows)
-	quicktest.Assert(t, h.addresses.left, quicktest.IsFalse)
+	quicktest.Assert(t, written, quicktest.Equals, ledger.AddressRowCount)
+	quicktest.Assert(t, h.addresses.leftOver, quicktest.IsFalse)
 }
--- a/internal/scheduler/held.go
+++ b/internal/scheduler/allocations.go
@@ -7,8 +7,8 @@
 	"github.com/pulleyring/pulleyring/internal/placement"
 )
 
-// held is an allocation: a gang or a single task that runs and can be stopped as a whole.
-type held struct {
+// allocation is an allocation: a gang or a single task that runs and can be stopped as a whole.
+type allocation struct {
 	index         int // Its index in the list of allocations.
 	runs          []*run
 	workerIndexes []int // Worker indexes of the runs.
@@ -29,43 +29,43 @@
 // allocations holds all allocations. It is updated as runs start, end and report progress: collecting all runs of 1,100
 // workers for each decision, 30 times a second, took 4.8 ms on one core (BenchmarkView). The zero value is empty.
 type allocations struct {
-	list  []*held
-	gangs map[groupKey]*held
+	list  []*allocation
+	gangs map[groupKey]*allocation
 }
 
 // add adds a run that was placed.
 func (x *allocations) add(r *run) {
 	alloc := x.findOrAdd(r)
 	alloc.runs = append(alloc.runs, r)
-	alloc.workerIndexes = append(alloc.workerIndexes, r.worker.seat)
+	alloc.workerIndexes = append(alloc.workerIndexes, r.worker.index)
 	alloc.stale = true
 	alloc.stopping = alloc.stopping || r.stopping
-	r.held = alloc
+	r.allocation = alloc
 }
 
 // findOrAdd returns the allocation of a run and creates it if there is none. An orphaned run does not belong to the
 // current run of its gang.
-func (x *allocations) findOrAdd(r *run) *held {
-	gang := r.job.Request.Steps[r.task.Step].Gang && !r.stray
+func (x *allocations) findOrAdd(r *run) *allocation {
+	gang := r.job.Request.Steps[r.task.Step].Gang && !r.orphaned
 	key := groupKey{r.task.Job, r.group()}
 	if known := x.gangs[key]; gang && known != nil {
 		return known
 	}
-	added := &held{index: len(x.list)}
+	added := &allocation{index: len(x.list)}
 	x.list = append(x.list, added)
 	if gang {
 		if x.gangs == nil {
-			x.gangs = map[groupKey]*held{}
+			x.gangs = map[groupKey]*allocation{}
 		}
 		x.gangs[key] = added
 	}
 	return added
 }
 
-// drop removes a run that has ended.
-func (x *allocations) drop(r *run) {
-	alloc := r.held
-	r.held = nil
+// remove removes a run that has ended.
+func (x *allocations) remove(r *run) {
+	alloc := r.allocation
+	r.allocation = nil
 	i := slices.Index(alloc.runs, r)
 	alloc.runs = slices.Delete(alloc.runs, i, i+1)
 	alloc.workerIndexes = slices.Delete(alloc.workerIndexes, i, i+1)
@@ -87,38 +87,38 @@
 func (x *allocations) updateWorkerIndexes() {
 	for _, alloc := range x.list {
 		for i, r := range alloc.runs {
-			alloc.workerIndexes[i] = r.worker.seat
+			alloc.workerIndexes[i] = r.worker.index
 		}
 	}
 }
 
 // allocationView returns an allocation as decisions see it.
-func (h *shard) allocationView(x *held, now time.Time) placement.Holding {
+func (h *shard) allocationView(x *allocation, now time.Time) placement.Allocation {
 	if x.stale {
 		x.forecast, x.stale = h.forecast(x), false
 	}
 	r := x.runs[0]
-	return placement.Holding{
-		Job: r.task.Job, Group: r.group(), Priority: r.job.Request.Terms.Priority, Covered: r.job.guaranteed, Stopping: x.stopping,
-		Each: r.each, Places: x.workerIndexes, Loss: h.lossOf(x, now), Risk: h.restartRisk(x, now),
-		Remaining: max(x.ends.Sub(now), 0), Known: !now.After(x.knownUntil),
+	return placement.Allocation{
+		Job: r.task.Job, Group: r.group(), Priority: r.job.Request.Terms.Priority, Guaranteed: r.job.guaranteed, Stopping: x.stopping,
+		Each: r.each, WorkerIndexes: x.workerIndexes, LostWork: h.lostWorkOf(x, now), ValueAtRisk: h.restartRisk(x, now),
+		Remaining: max(x.ends.Sub(now), 0), RemainingReported: !now.After(x.knownUntil),
 	}
 }
 
-// lossOf returns the core-seconds of work that are lost if an allocation is stopped.
-func (h *shard) lossOf(x *held, now time.Time) float64 {
+// lostWorkOf returns the core-seconds of work that are lost if an allocation is stopped.
+func (h *shard) lostWorkOf(x *allocation, now time.Time) float64 {
 	r := x.runs[0]
 	return float64(len(x.runs)) * h.lostWork(r, &r.job.Request.Steps[r.task.Step], now)
 }
 
 // forecast computes the forecast of an allocation. A gang ends with its last member; its end is known once all members
 // have reported progress.
-func (h *shard) forecast(x *held) forecast {
+func (h *shard) forecast(x *allocation) forecast {
 	r := x.runs[0]
 	request := r.job.Request
 	o := forecast{
-		chain: h.learned.chainTime(request, r.task.Step), atRisk: (1 - lateShare) * h.value(request),
-		goal: time.UnixMilli(request.Due(r.task.Occurrence)).Add(h.allowed(request)),
+		chain: h.estimates.chainTime(request, r.task.Step), atRisk: (1 - lateShare) * h.value(request),
+		goal: time.UnixMilli(request.Due(r.task.Occurrence)).Add(h.allowedTime(request)),
 	}
 	for i, r := range x.runs {
 		ends, known := h.expectedEnd(r)
@@ -134,7 +134,7 @@
 
 // restartRisk returns the value that a job loses if one of its allocations is restarted. It is zero if the job is
 // late, or on time, in either case.
-func (h *shard) restartRisk(x *held, now time.Time) float64 {
+func (h *shard) restartRisk(x *allocation, now time.Time) float64 {
 	late := x.runs[0].placed.Add(x.chain).After(x.goal)
 	early := now.Add(h.Bounds.StopTime + restartDelay + x.chain).Before(x.goal)
 	if late || early {
--- a/internal/scheduler/held_test.go
+++ b/internal/scheduler/allocations_test.go
@@ -20,7 +20,7 @@
 // from scratch, after random events of jobs, runs and workers.
 func TestKeptViewEqualsOneCollectedAnew(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		h := keptShard()
+		h := offlineShard()
 		for n := range rapid.IntRange(1, 40).Draw(r, "events") {
 			drawEvent(r, h, n)
 			if rapid.IntRange(0, 2).Draw(r, "look") == 0 {
@@ -31,8 +31,8 @@
 	})
 }
 
-// keptShard returns a shard without a store and without connections to workers.
-func keptShard() *shard {
+// offlineShard returns a shard without a store and without connections to workers.
+func offlineShard() *shard {
 	none := func() *queue.Configuration { return nil }
 	return newShard(context.Background(), &Scheduler{Log: zap.NewNop(), Configuration: none}, nil)
 }
@@ -45,7 +45,7 @@
 		id := fmt.Sprintf("w%d", rapid.IntRange(0, 99).Draw(r, "name"))
 		if h.workers[id] == nil {
 			h.workers[id] = workerOf(&fleet.Worker{ID: id, Capacity: job.Resources{Accelerators: 8}})
-			h.roster = nil
+			h.sortedWorkers = nil
 		}
 	case "job":
 		id := job.ID(fmt.Sprint("j", n))
@@ -64,19 +64,19 @@
 		}
 	case "tell":
 		if x := drawRun(r, h); x != nil {
-			h.seen(x.worker, &fleet.Run{Task: x.task, Run: x.number, Done: rapid.Float64Range(0, 1).Draw(r, "done")})
+			h.recordRunning(x.worker, &fleet.Run{Task: x.task, Run: x.number, Done: rapid.Float64Range(0, 1).Draw(r, "done")})
 		}
 	case "leave":
 		if len(h.workers) > 0 {
 			id := rapid.SampledFrom(slices.Sorted(maps.Keys(h.workers))).Draw(r, "leaving")
-			h.loseWorker(h.workers[id], leasesOver)
+			h.declareLost(h.workers[id], leasesExpired)
 		}
 	}
 }
 
 // drawPlacement places a random waiting group on random workers.
 func drawPlacement(r *rapid.T, h *shard, now time.Time) {
-	view := h.takeView(now)
+	view := h.updateView(now)
 	if len(view.Demands) == 0 || len(view.Workers) == 0 {
 		return
 	}
@@ -112,7 +112,7 @@
 
 // compareView checks the updated view against one that is built from the workers' runs.
 func compareView(r *rapid.T, h *shard) {
-	view := h.takeView(time.Now())
+	view := h.updateView(time.Now())
 	want := map[string]*wantAllocation{}
 	for _, id := range slices.Sorted(maps.Keys(h.workers)) {
 		w := h.workers[id]
@@ -134,16 +134,16 @@
 			r.Fatalf("worker %s: %+v, want used %v freeing %v", id, view.Workers, used, freeing)
 		}
 	}
-	if len(view.Workers) != len(h.workers) || len(view.Holdings) != len(want) {
-		r.Fatalf("%d workers and %d allocations, want %d and %d", len(view.Workers), len(view.Holdings), len(h.workers), len(want))
+	if len(view.Workers) != len(h.workers) || len(view.Allocations) != len(want) {
+		r.Fatalf("%d workers and %d allocations, want %d and %d", len(view.Workers), len(view.Allocations), len(h.workers), len(want))
 	}
-	for i := range view.Holdings {
+	for i := range view.Allocations {
 		compareAllocation(r, h, view, i, want)
 	}
 }
 
 // allocationKey returns the key of the allocation that a run belongs to.
-func allocationKey(id job.ID, g job.Group, index int, j *liveJob) string {
+func allocationKey(id job.ID, g job.Group, index int, j *trackedJob) string {
 	if j.Request.Steps[g.Step].Gang {
 		index = -1
 	}
@@ -152,14 +152,14 @@
 
 // compareAllocation checks an allocation of the view against the expected one and against its runs' expected ends.
 func compareAllocation(r *rapid.T, h *shard, view *placement.View, i int, want map[string]*wantAllocation) {
-	got := &view.Holdings[i]
-	first := h.holdings.list[i].runs[0]
+	got := &view.Allocations[i]
+	first := h.allocations.list[i].runs[0]
 	expected := want[allocationKey(got.Job, got.Group, first.task.Index, first.job)]
 	if expected == nil {
 		r.Fatalf("no runs for allocation %+v", got)
 	}
 	var on []string
-	for _, seat := range got.Places {
+	for _, seat := range got.WorkerIndexes {
 		on = append(on, view.Workers[seat].ID)
 	}
 	slices.Sort(on)
@@ -167,7 +167,7 @@
 		r.Fatalf("allocation %+v on workers %v, want %+v", got, on, expected)
 	}
 	ends, knownUntil := time.Time{}, time.Time{}
-	for n, x := range h.holdings.list[i].runs {
+	for n, x := range h.allocations.list[i].runs {
 		end, known := h.expectedEnd(x)
 		if end.After(ends) {
 			ends = end
@@ -177,7 +177,7 @@
 		}
 	}
 	// If the end is not known, it follows from the estimates at the allocation's last event, and is not compared.
-	if got.Known != !view.Now.After(knownUntil) || got.Known && got.Remaining != max(ends.Sub(view.Now), 0) {
+	if got.RemainingReported != !view.Now.After(knownUntil) || got.RemainingReported && got.Remaining != max(ends.Sub(view.Now), 0) {
 		r.Fatalf("allocation %+v, want end %v known until %v", got, ends, knownUntil)
 	}
 }
--- a/internal/scheduler/answers.go
+++ b/internal/scheduler/answers.go
@@ -42,8 +42,8 @@
 // slowTimeout returns the timeout for a worker that answers slowly. It is about 0 for a quick one.
 func (c *contact) slowTimeout() time.Duration { return min(2*c.answerDelay, slowAnswerTimeout) }
 
-// answerBound returns the timeout of an answer, beyond the command's own wait.
-func (c *contact) answerBound() time.Duration { return max(answerTimeout, c.slowTimeout()) }
+// currentAnswerTimeout returns the timeout of an answer, beyond the command's own wait.
+func (c *contact) currentAnswerTimeout() time.Duration { return max(answerTimeout, c.slowTimeout()) }
 
 // pollPatiently polls a silent worker with a long timeout, as it may only be slow. The regular polls find
 // quickly that it is back. Only one such poll is in flight at a time.
@@ -55,7 +55,7 @@
 	if !begin {
 		return
 	}
-	h.ordering.Go(func() {
+	h.background.Go(func() {
 		h.pollOnce(w, slowAnswerTimeout)
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -63,8 +63,8 @@
 	})
 }
 
-// noteAnswer records how long an answer took, or that none came.
-func (h *shard) noteAnswer(err error, took time.Duration) {
+// recordAnswerTime records how long an answer took, or that none came.
+func (h *shard) recordAnswerTime(err error, took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, refused := refusalOf(err); err == nil || refused {
--- a/internal/scheduler/clock_test.go
+++ b/internal/scheduler/clock_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/frankban/quicktest"
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
 	"github.com/pulleyring/pulleyring/internal/ledger"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // slowClockWorker is a worker whose clock is 2% slow. It records the lease of each start.
 type slowClockWorker struct {
-	fleet.Orders
+	fleet.Commands
 	born  time.Time
 	polls int
 	lease int64 // Lease of the last start.
@@ -25,9 +25,9 @@
 	return 1 + int64(0.98*float64(time.Since(s.born).Milliseconds()))
 }
 
-func (s *slowClockWorker) Look(context.Context, *fleet.Worker, *fleet.Look) (fleet.Report, error) {
+func (s *slowClockWorker) Poll(context.Context, *fleet.Worker, *fleet.Poll) (fleet.Report, error) {
 	s.polls++
-	return fleet.Report{Life: life.ID{Worker: "w"}, Clock: s.clock()}, nil
+	return fleet.Report{Incarnation: incarnation.ID{Worker: "w"}, Clock: s.clock()}, nil
 }
 
 func (s *slowClockWorker) Start(_ context.Context, _ *fleet.Worker, o *fleet.Start) (int64, error) {
@@ -44,19 +44,19 @@
 		looks int
 	}{{5 * time.Second, 0}, {20 * time.Minute, 1}} {
 		synctest.Test(t, func(t *testing.T) {
-			h, w := silentShard()
+			h, w := shardWithRun()
 			s := &slowClockWorker{born: time.Now()}
-			h.Orders, h.tenure = s, &ledger.Tenure{}
+			h.Commands, h.leaseTerm = s, &ledger.LeaseTerm{}
 			time.Sleep(c.idle)
-			h.held = time.Now()
+			h.lastCommit = time.Now()
 			r := w.runs[job.Task{Job: "j"}]
-			w.leases.over = time.Time{}
+			w.leases.endedBy = time.Time{}
 			h.start(w, r)
 			quicktest.Check(t, s.polls, quicktest.Equals, c.looks)
 			quicktest.Check(t, r.confirmed.IsZero(), quicktest.IsFalse)
 			granted := milliseconds(s.lease - s.clock())
-			quicktest.Check(t, granted < h.Bounds.lease(false)+200*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s", granted))
-			late := time.Until(w.leases.over) - slowed(h.Bounds.lease(false)) - h.Bounds.endsWithin()
+			quicktest.Check(t, granted < h.Bounds.renewalTime(false)+200*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s", granted))
+			late := time.Until(w.leases.endedBy) - onSlowClock(h.Bounds.renewalTime(false)) - h.Bounds.maxEndDelay()
 			quicktest.Check(t, late < 200*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s", late))
 		})
 	}
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -16,9 +16,9 @@
 // uncommitted holds the changes from which the next batches are built.
 type uncommitted struct {
 	dirty          map[job.ID]bool          // Jobs whose progress has changed since it was last committed.
-	underWay       map[job.ID]*job.Progress // Progress in the batch that is being committed.
+	committing     map[job.ID]*job.Progress // Progress in the batch that is being committed.
 	pendingStarts  []*run                   // Placed runs that are started once the placement is committed.
-	dropped        []ledger.Forgotten       // Jobs whose request rows are deleted and whose progress rows are not yet.
+	droppedJobs    []ledger.JobDeletion     // Jobs whose request rows are deleted and whose progress rows are not yet.
 	pendingByQueue map[string]int           // Jobs that have not started anything, by queue, as last committed.
 }
 
@@ -29,7 +29,7 @@
 	pause := retryDelay
 	for ctx.Err() == nil {
 		if h.isReplaced() {
-			return ledger.ErrReplaced
+			return ledger.ErrLeaseTaken
 		}
 		f := h.prepare(time.Since(lastCommit) >= heartbeatInterval)
 		if f == nil {
@@ -38,8 +38,8 @@
 		}
 		lastCommit = time.Now()
 		err := h.commit(ctx, f)
-		if errors.Is(err, ledger.ErrReplaced) {
-			h.Log.Warn("scheduler: another box has taken the lease; ending the lease term", zap.Int64("epoch", h.tenure.Epoch()))
+		if errors.Is(err, ledger.ErrLeaseTaken) {
+			h.Log.Warn("scheduler: another box has taken the lease; ending the lease term", zap.Int64("epoch", h.leaseTerm.Epoch()))
 			return err
 		}
 		if err != nil {
@@ -73,8 +73,8 @@
 // pendingCommit is a batch and the actions to take once it is committed.
 type pendingCommit struct {
 	batch       ledger.Batch
-	starts      []*run                      // Runs to start.
-	appliedEnds map[*listedEnds]appliedEnds // Ends reported by workers whose effects are committed with the batch.
+	starts      []*run                     // Runs to start.
+	appliedEnds map[*endCursor]appliedEnds // Ends reported by workers whose effects are committed with the batch.
 }
 
 // appliedEnds is the number up to which all ends reported by a worker have been applied.
@@ -88,30 +88,30 @@
 func (h *shard) prepare(heartbeatDue bool) *pendingCommit {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.watchWorkers(time.Now())
-	if h.changed || h.anyWaiting() && time.Since(h.lastDecision) >= maxDecisionInterval {
+	h.sampleWorkers(time.Now())
+	if h.decisionDue || h.anyWaiting() && time.Since(h.lastDecision) >= maxDecisionInterval {
 		h.decide()
 	}
 	pending := h.countPending()
-	if len(h.dirty) == 0 && len(h.dropped) == 0 && !heartbeatDue && !h.addresses.left && maps.Equal(pending, h.pendingByQueue) {
+	if len(h.dirty) == 0 && len(h.droppedJobs) == 0 && !heartbeatDue && !h.addresses.leftOver && maps.Equal(pending, h.pendingByQueue) {
 		return nil
 	}
-	f := &pendingCommit{batch: ledger.Batch{Progress: map[job.ID]*job.Progress{}}, appliedEnds: map[*listedEnds]appliedEnds{}}
+	f := &pendingCommit{batch: ledger.Batch{Progress: map[job.ID]*job.Progress{}}, appliedEnds: map[*endCursor]appliedEnds{}}
 	rows, tasks := 0, 0
 	for id := range h.dirty {
 		j := h.jobs[id]
 		if rows >= ledger.MaxBatchRows || tasks > 0 && tasks+len(j.Progress.Tasks) > ledger.MaxBatchTasks {
 			break
 		}
-		rows += ledger.Rows(&j.Progress)
+		rows += ledger.ProgressRows(&j.Progress)
 		tasks += len(j.Progress.Tasks)
 		f.batch.Progress[id] = copyProgress(&j.Progress)
 		delete(h.dirty, id)
 	}
-	h.underWay = f.batch.Progress
+	h.committing = f.batch.Progress
 	h.collectFollowUps(f)
 	h.collectAddresses(&f.batch)
-	f.batch.Forget = h.takeDropped()
+	f.batch.Delete = h.takeDropped()
 	if !maps.Equal(pending, h.pendingByQueue) {
 		f.batch.Summary = &ledger.Summary{Pending: pending}
 		h.pendingByQueue = pending
@@ -136,7 +136,7 @@
 	}
 	for _, w := range h.workers {
 		if w.applied > w.acknowledged {
-			f.appliedEnds[w.listedEnds] = appliedEnds{w, w.listedEnds.applied}
+			f.appliedEnds[w.endCursor] = appliedEnds{w, w.endCursor.applied}
 		}
 	}
 }
@@ -155,25 +155,25 @@
 	began, suspended := time.Now(), h.totalSuspended()
 	timed, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	err := h.tenure.Commit(timed, &f.batch)
+	err := h.leaseTerm.Commit(timed, &f.batch)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
 		h.restore(f)
-		h.storeOut = time.Now()
-		if !errors.Is(err, ledger.ErrReplaced) {
+		h.storeFailedAt = time.Now()
+		if !errors.Is(err, ledger.ErrLeaseTaken) {
 			h.Log.Warn("scheduler: commit failed; retrying", logsink.Error(err), zap.Int("rows", len(f.batch.Progress)))
 		}
 		return err
 	}
-	h.committed(f, began, suspended)
+	h.afterCommit(f, began, suspended)
 	return nil
 }
 
-// committed starts the follow-up actions of a committed batch: it acknowledges ends and starts runs.
-func (h *shard) committed(f *pendingCommit, began time.Time, suspended time.Duration) {
-	h.held, h.lastCommitSuspended, h.underWay = began, suspended, nil
-	h.marks.add(h.tenure.Version(), began)
+// afterCommit starts the follow-up actions of a committed batch: it acknowledges ends and starts runs.
+func (h *shard) afterCommit(f *pendingCommit, began time.Time, suspended time.Duration) {
+	h.lastCommit, h.lastCommitSuspended, h.committing = began, suspended, nil
+	h.recentCommits.add(h.leaseTerm.Version(), began)
 	for ends, a := range f.appliedEnds {
 		ends.acknowledged = max(ends.acknowledged, a.upTo)
 		a.worker.signal()
@@ -185,14 +185,14 @@
 
 // restore puts the changes of a failed batch back, so that the next batch contains them.
 func (h *shard) restore(f *pendingCommit) {
-	h.underWay = nil
+	h.committing = nil
 	for id := range f.batch.Progress {
 		if h.jobs[id] != nil { // Otherwise the job was dropped and its rows are deleted.
 			h.dirty[id] = true
 		}
 	}
 	h.pendingStarts = append(f.starts, h.pendingStarts...)
-	h.dropped = append(h.dropped, f.batch.Forget...)
+	h.droppedJobs = append(h.droppedJobs, f.batch.Delete...)
 	if f.batch.Summary != nil {
 		h.pendingByQueue = nil
 	}
@@ -215,12 +215,12 @@
 	for id := range h.dirty {
 		if rows < ledger.MaxBatchRows {
 			f.batch.Progress[id] = copyProgress(&h.jobs[id].Progress)
-			rows += ledger.Rows(f.batch.Progress[id])
+			rows += ledger.ProgressRows(f.batch.Progress[id])
 		}
 	}
 	h.mu.Unlock()
-	err := h.tenure.Commit(ctx, &f.batch)
-	h.Log.Info("scheduler: gave the lease back", zap.Int64("epoch", h.tenure.Epoch()), logsink.Error(err))
+	err := h.leaseTerm.Commit(ctx, &f.batch)
+	h.Log.Info("scheduler: gave the lease back", zap.Int64("epoch", h.leaseTerm.Epoch()), logsink.Error(err))
 	return err
 }
 
--- a/internal/scheduler/marks.go
+++ b/internal/scheduler/commit_marks.go
@@ -13,12 +13,12 @@
 	began   time.Time
 }
 
-// marks lists the newest commits, oldest first. With them a record's version tells when it was written more
+// commitMarks lists the newest commits, oldest first. With them a record's version tells when it was written more
 // exactly than the answers of the feed, which are 0.3 s apart.
-type marks []commitMark
+type commitMarks []commitMark
 
 // add appends a commit.
-func (m *marks) add(version int64, began time.Time) {
+func (m *commitMarks) add(version int64, began time.Time) {
 	if len(*m) >= maxCommitMarks {
 		*m = append((*m)[:0], (*m)[1:]...)
 	}
@@ -27,7 +27,7 @@
 
 // writtenAfter returns the time after which a row with the given version was written: the beginning of the newest
 // commit with a lower version. It is zero if none is known.
-func (m marks) writtenAfter(version int64) time.Time {
+func (m commitMarks) writtenAfter(version int64) time.Time {
 	for i := len(m) - 1; i >= 0; i-- {
 		if m[i].version < version {
 			return m[i].began
--- a/internal/scheduler/marks_test.go
+++ b/internal/scheduler/commit_marks_test.go
@@ -27,28 +27,28 @@
 		{"after the last", 31, 2000 * ms},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			h, w := silentShard()
+			h, w := shardWithRun()
 			w.clock = 0 // Unknown, so that nothing polls the worker.
 			r := w.runs[job.Task{Job: "j"}]
 			second := time.Now()
-			h.marks.add(10, second.Add(-200*ms))
-			h.marks.add(20, second)
-			h.marks.add(30, second.Add(200*ms))
+			h.recentCommits.add(10, second.Add(-200*ms))
+			h.recentCommits.add(20, second)
+			h.recentCommits.add(30, second.Add(200*ms))
 			time.Sleep(300 * ms)
 			record := w.Worker
-			record.Draining, record.Leaves, record.Version = true, 3*time.Second, c.version
+			record.Draining, record.TimeLeft, record.Version = true, 3*time.Second, c.version
 			h.mu.Lock()
 			h.applyWorkerRecord(&record, second.Add(-300*ms))
 			h.mu.Unlock()
-			h.ordering.Wait()
-			quicktest.Check(t, r.stopAsked.Sub(second), quicktest.Equals, c.stopsIn, quicktest.Commentf(c.name))
+			h.background.Wait()
+			quicktest.Check(t, r.stopRequested.Sub(second), quicktest.Equals, c.stopsIn, quicktest.Commentf(c.name))
 		})
 	}
 }
 
 // TestOldCommitMarksAreDropped fails if the commits of a long lease term accumulate in memory.
 func TestOldCommitMarksAreDropped(t *testing.T) {
-	var m marks
+	var m commitMarks
 	begin := time.Now()
 	for n := range int64(3 * maxCommitMarks) {
 		m.add(n, begin.Add(time.Duration(n)))
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// listedEnds records how far the ends that a worker reports have been processed, by their numbers.
-type listedEnds struct {
+// endCursor records how far the ends that a worker reports have been processed, by their numbers.
+type endCursor struct {
 	applied      int64 // All ends up to this number have been applied.
 	acknowledged int64 // Number of the last end whose effect is committed.
-	told         int64 // Number of the last end that the worker was told to forget.
+	forgotten    int64 // Number of the last end that the worker was told to forget.
 }
 
 // forgetWindow is how long after a worker's last answer it may be told to forget ends. A restart takes longer than
@@ -23,29 +23,29 @@
 // toForget returns the number up to which a worker should forget its ends, or 0 if it was already told or if another
 // incarnation might receive the number.
 func (w *workerState) toForget() int64 {
-	if w.told >= w.acknowledged || w.failures > 0 || !w.isCertain() || time.Since(w.lookedAt) > forgetWindow {
+	if w.forgotten >= w.acknowledged || w.failures > 0 || !w.isCertain() || time.Since(w.polledAt) > forgetWindow {
 		return 0
 	}
 	return w.acknowledged
 }
 
-// takeEnds applies the ends that a worker reports, including those of runs that were presumed ended and those in a
+// applyEnds applies the ends that a worker reports, including those of runs that were presumed ended and those in a
 // report that was overtaken by a newer one. A task that is done, or a failed attempt, counts no matter when it is
 // reported. If such ends were skipped and acknowledged, they would be lost and the task would run again.
-func (h *shard) takeEnds(w *workerState, report *fleet.Report) {
+func (h *shard) applyEnds(w *workerState, report *fleet.Report) {
 	for i := range report.Ended {
 		if e := &report.Ended[i]; e.Number > w.applied {
-			h.applyEnd(w, report.Life, e)
+			h.applyEnd(w, report.Incarnation, e)
 		}
 	}
 	w.applied = appliedUpTo(w.applied, report)
 }
 
-// takeFormerEnds applies the ends reported by an earlier incarnation of a worker. Their numbers are unrelated to
+// applyFormerEnds applies the ends reported by an earlier incarnation of a worker. Their numbers are unrelated to
 // those of the current incarnation.
-func (h *shard) takeFormerEnds(w *workerState, report *fleet.Report) {
+func (h *shard) applyFormerEnds(w *workerState, report *fleet.Report) {
 	for i := range report.Ended {
-		h.applyEnd(w, report.Life, &report.Ended[i])
+		h.applyEnd(w, report.Incarnation, &report.Ended[i])
 	}
 }
 
@@ -76,19 +76,19 @@
 }
 
 // applyEnd applies an end that an incarnation of a worker reports.
-func (h *shard) applyEnd(w *workerState, l life.ID, e *fleet.End) {
+func (h *shard) applyEnd(w *workerState, l incarnation.ID, e *fleet.End) {
 	r := w.runs[e.Task]
-	found := r != nil && r.number == e.Run && r.life.Is(l)
-	if found && !r.stray {
+	found := r != nil && r.number == e.Run && r.incarnation.Matches(l)
+	if found && !r.orphaned {
 		h.endRun(w, r, e.Outcome, e.Saved)
 		return
 	}
 	if found {
 		h.dropRun(w, r)
 	}
-	line := h.unfollowedEnd(w, l, e)
+	line := h.untrackedEnd(w, l, e)
 	line.Counts = h.applyUntrackedEnd(w, e)
-	h.noteUnfollowed(line)
+	h.logUntrackedEnd(line)
 }
 
 // applyUntrackedEnd applies the end of a run that is no longer tracked and reports whether it changed anything. If it
@@ -99,10 +99,10 @@
 		return false
 	}
 	before := j.Progress.State
-	if !j.End(e.Task, e.Run, e.Outcome, e.Saved, time.Now().UnixMilli()) {
+	if !j.EndRun(e.Task, e.Run, e.Outcome, e.Saved, time.Now().UnixMilli()) {
 		return false
 	}
-	h.touch(e.Task.Job)
+	h.markDirty(e.Task.Job)
 	g := job.Group{Occurrence: e.Task.Occurrence, Step: e.Task.Step}
 	if e.Outcome == job.FailedRun {
 		j.recordFailure(g, w.ID, true)
@@ -111,13 +111,13 @@
 		h.stopFinishedTasks(j, g)
 	}
 	if j.Progress.State != before && j.Progress.State.Final() {
-		h.jobEnded(j)
+		h.handleJobEnd(j)
 	}
 	return true
 }
 
 // stopFinishedTasks stops runs of a group's tasks that were finished by an earlier run.
-func (h *shard) stopFinishedTasks(j *liveJob, g job.Group) {
+func (h *shard) stopFinishedTasks(j *trackedJob, g job.Group) {
 	for _, w := range h.workers {
 		for task, r := range w.runs {
 			if task.Job != j.Request.ID || r.group() != g {
@@ -132,9 +132,9 @@
 
 // recordFailure records that a run of a group failed on a worker, or certainly never began there if failed is false.
 // Other workers are tried first.
-func (j *liveJob) recordFailure(g job.Group, worker string, failed bool) {
-	if j.avoid[g] == nil {
-		j.avoid[g] = map[string]bool{}
+func (j *trackedJob) recordFailure(g job.Group, worker string, failed bool) {
+	if j.avoidWorkers[g] == nil {
+		j.avoidWorkers[g] = map[string]bool{}
 	}
-	j.avoid[g][worker] = failed
+	j.avoidWorkers[g][worker] = failed
 }
--- a/internal/scheduler/ends_test.go
+++ b/internal/scheduler/ends_test.go
@@ -20,7 +20,7 @@
 // here".
 func TestEndsOfUntrackedRunsAreApplied(t *testing.T) {
 	for _, c := range script.Cases(t, "testdata/ends.txt") {
-		p := &reportCase{h: keptShard(), workers: map[string]*workerState{}}
+		p := &reportCase{h: offlineShard(), workers: map[string]*workerState{}}
 		c.Run(t, p.step)
 	}
 }
@@ -43,10 +43,10 @@
 	case "place":
 		return c.place(words[1:])
 	case "silent":
-		c.h.loseRuns(c.workers[words[1]], leasesOver)
+		c.h.loseRuns(c.workers[words[1]], leasesExpired)
 		return nil
 	case "gone":
-		c.h.loseWorker(c.workers[words[1]], recordGone)
+		c.h.declareLost(c.workers[words[1]], recordGone)
 		return nil
 	case "returns":
 		c.addWorker(words[1])
@@ -62,7 +62,7 @@
 func (c *reportCase) addWorker(id string) {
 	w := workerOf(&fleet.Worker{ID: id})
 	c.workers[id], c.h.workers[id] = w, w
-	c.h.roster = nil
+	c.h.sortedWorkers = nil
 }
 
 func (c *reportCase) submit(words []string) error {
@@ -91,7 +91,7 @@
 }
 
 func (c *reportCase) place(names []string) error {
-	demands := c.h.takeView(time.Now()).Demands
+	demands := c.h.updateView(time.Now()).Demands
 	if len(demands) != 1 || len(demands[0].Waiting) != len(names) {
 		return errors.Errorf("scheduler: unexpected waiting demands: %+v", demands)
 	}
@@ -109,7 +109,7 @@
 		return errors.Wrap(err, "scheduler: clock is not a number")
 	}
 	w := c.workers[words[0]]
-	report, acknowledged := fleet.Report{Life: w.life, Clock: clock}, int64(0)
+	report, acknowledged := fleet.Report{Incarnation: w.incarnation, Clock: clock}, int64(0)
 	part := ""
 	for _, word := range words[2:] {
 		if word == "more" {
@@ -134,7 +134,7 @@
 			return errors.Wrapf(err, "scheduler: %q", word)
 		}
 	}
-	c.h.takeReport(w, &report, w.mark(), acknowledged)
+	c.h.applyReport(w, &report, w.sendState(), acknowledged)
 	return nil
 }
 
