--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -25,9 +25,9 @@
 
 // queueEstimates holds what was learned from the jobs of one queue.
 type queueEstimates struct {
-	runTimeRatio float64 // Real run time divided by the declared one, smoothed; 0 before the first run.
-	meanWork     mean    // Declared core-seconds of a job.
-	runTimes     guess   // Run times of tasks, one for each step.
+	runTimeRatio float64   // Real run time divided by the declared one, smoothed; 0 before the first run.
+	meanWork     mean      // Declared core-seconds of a job.
+	runTimes     estimator // Run times of tasks, one for each step.
 }
 
 // ratioWeight is the weight of the newest run in queueEstimates.runTimeRatio.
@@ -54,8 +54,8 @@
 	e.ofQueue(r.Terms.Queue).meanWork.add(declaredWork(r))
 }
 
-// ran records how long a run took, or will take at its current rate.
-func (e *estimates) ran(r *job.Request, step int, took time.Duration) {
+// addRun records how long a run took, or will take at its current rate.
+func (e *estimates) addRun(r *job.Request, step int, took time.Duration) {
 	if e.steps == nil {
 		e.steps = map[groupKey]*mean{}
 	}
@@ -63,7 +63,7 @@
 	l := e.ofQueue(r.Terms.Queue)
 	if e.steps[key] == nil {
 		e.steps[key] = &mean{}
-		l.runTimes.take(took, l.correct(r.Steps[step].Estimate))
+		l.runTimes.observe(took, l.correct(r.Steps[step].Estimate))
 	}
 	e.steps[key].add(took.Seconds())
 	if r.Steps[step].Estimate <= 0 {
@@ -76,13 +76,13 @@
 	l.runTimeRatio += ratioWeight * (ratio - l.runTimeRatio)
 }
 
-// task returns the expected run time of a task of a step.
-func (e *estimates) task(r *job.Request, step int) time.Duration {
+// taskTime returns the expected run time of a task of a step.
+func (e *estimates) taskTime(r *job.Request, step int) time.Duration {
 	if m := e.steps[stepOf(r.ID, step)]; m != nil {
-		return max(seconds(m.value), leastEstimate)
+		return max(seconds(m.value), minEstimate)
 	}
 	l := e.ofQueue(r.Terms.Queue)
-	return max(l.runTimes.blend(l.correct(r.Steps[step].Estimate)), leastEstimate)
+	return max(l.runTimes.estimate(l.correct(r.Steps[step].Estimate)), minEstimate)
 }
 
 // correct returns a declared run time, scaled by the queue's ratio of real to declared run times.
@@ -93,9 +93,9 @@
 	return declared
 }
 
-// leastEstimate is the shortest run time that is estimated. The commands of a run alone take a few tens of
+// minEstimate is the shortest run time that is estimated. The commands of a run alone take a few tens of
 // milliseconds.
-const leastEstimate = 100 * time.Millisecond
+const minEstimate = 100 * time.Millisecond
 
 // forget removes what was learned about a job's steps.
 func (e *estimates) forget(r *job.Request) {
@@ -126,7 +126,7 @@
 				}
 			}
 		}
-		longest[s] = e.task(r, s) + after
+		longest[s] = e.taskTime(r, s) + after
 	}
 	return longest[from]
 }
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -26,15 +26,15 @@
 func TestFirstTaskSetsStepEstimate(t *testing.T) {
 	var e estimates
 	a, b := request("a", 4*time.Second, 2*time.Second), request("b", 6*time.Second)
-	quicktest.Assert(t, e.task(a, 0), quicktest.Equals, 4*time.Second)
-	e.ran(a, 0, 8*time.Second)
-	quicktest.Assert(t, e.task(a, 0), quicktest.Equals, 8*time.Second)
+	quicktest.Assert(t, e.taskTime(a, 0), quicktest.Equals, 4*time.Second)
+	e.addRun(a, 0, 8*time.Second)
+	quicktest.Assert(t, e.taskTime(a, 0), quicktest.Equals, 8*time.Second)
 	// The queue's tasks take twice the declared time.
-	quicktest.Assert(t, e.task(a, 1), quicktest.Equals, 4*time.Second)
+	quicktest.Assert(t, e.taskTime(a, 1), quicktest.Equals, 4*time.Second)
 	quicktest.Assert(t, e.jobTime(a), quicktest.Equals, 12*time.Second)
-	quicktest.Assert(t, e.task(b, 0), quicktest.Equals, 12*time.Second)
-	e.ran(a, 0, 10*time.Second)
-	quicktest.Assert(t, e.task(a, 0), quicktest.Equals, 9*time.Second)
+	quicktest.Assert(t, e.taskTime(b, 0), quicktest.Equals, 12*time.Second)
+	e.addRun(a, 0, 10*time.Second)
+	quicktest.Assert(t, e.taskTime(a, 0), quicktest.Equals, 9*time.Second)
 	e.forget(a)
 	quicktest.Assert(t, len(e.steps), quicktest.Equals, 0)
 }
@@ -45,14 +45,14 @@
 	for _, remote := range []bool{false, true} {
 		h := &shard{}
 		a := request("a", 4*time.Second)
-		r := &run{job: &liveJob{Life: job.NewLife(a, nil)}, far: remote}
+		r := &run{job: &trackedJob{Tracker: job.NewTracker(a, nil)}, remote: remote}
 		r.progress, _ = progressOf(0, 0.05, 0.1, 0.15, 0.2) // 0.1 per second.
-		h.learnEarly(r)
-		h.learnEarly(r)
+		h.learnFromProgress(r)
+		h.learnFromProgress(r)
 		want := 10 * time.Second
 		if remote {
 			want = 4 * time.Second
 		}
-		quicktest.Check(t, h.learned.task(a, 0).Round(time.Millisecond), quicktest.Equals, want)
+		quicktest.Check(t, h.estimates.taskTime(a, 0).Round(time.Millisecond), quicktest.Equals, want)
 	}
 }
--- a/internal/scheduler/guess.go
+++ b/internal/scheduler/estimator.go
@@ -29,19 +29,19 @@
 	m.value += (x - m.value) * max(1/m.count, minRecentWeight)
 }
 
-// guess estimates the run time of a queue's tasks. It combines the run times so far with the caller's
+// estimator estimates the run time of a queue's tasks. It combines the run times so far with the caller's
 // declaration, each weighted by its past error. When callers' declarations alone were used, and were off by
 // twice and more, gangs waited beside idle workers for a goal that lay a minute further away than it seemed.
 // The zero value uses only the declaration.
-type guess struct {
+type estimator struct {
 	mean          runningMean // Logarithm of seconds.
 	meanError     runningMean // Squared, in logarithms.
 	declaredError runningMean
 }
 
-// take records how long a step's tasks ran, and the run time expected by the declaration; 0 for none.
-func (g *guess) take(took, declared time.Duration) {
-	x := math.Log(max(took.Seconds(), leastEstimate.Seconds()))
+// observe records how long a step's tasks ran, and the run time expected by the declaration; 0 for none.
+func (g *estimator) observe(took, declared time.Duration) {
+	x := math.Log(max(took.Seconds(), minEstimate.Seconds()))
 	if g.mean.count > 0 {
 		g.meanError.add((x - g.mean.value) * (x - g.mean.value))
 	}
@@ -52,8 +52,8 @@
 	g.mean.add(x)
 }
 
-// blend returns the expected run time of a task with the given declaration; 0 for none.
-func (g *guess) blend(declared time.Duration) time.Duration {
+// estimate returns the expected run time of a task with the given declaration; 0 for none.
+func (g *estimator) estimate(declared time.Duration) time.Duration {
 	if g.mean.count < minSteps {
 		return declared
 	}
--- a/internal/scheduler/doubt.go
+++ b/internal/scheduler/failure_score.go
@@ -29,7 +29,7 @@
 
 // workerHealth is what the runs on a worker show of its health. The zero value is a healthy worker.
 type workerHealth struct {
-	doubt              failureScore
+	failureScore       failureScore
 	slow               slowness
 	healthySince       time.Time // Placement of the newest run that has not failed immediately.
 	immediateFailureAt time.Time // When a run last failed as soon as it had begun.
@@ -57,33 +57,33 @@
 	return v
 }
 
-func (d *failureScore) barred(now time.Time) bool { return d.level(now) >= quarantineScore }
+func (d *failureScore) quarantined(now time.Time) bool { return d.level(now) >= quarantineScore }
 
 func (d *failureScore) add(weight float64, now time.Time) {
 	d.value, d.at = d.level(now)+weight, now
 }
 
-// learn applies the outcome of a run to the worker's failure score and to the queue's run time estimates. A
+// recordOutcome applies the outcome of a run to the worker's failure score and to the queue's run time estimates. A
 // success clears the score, but after an immediate failure only if the run was placed later. When any success
 // cleared it, a worker that failed everything new left quarantine whenever one of seven older tasks succeeded:
 // 11 of 24 tasks failed there instead of one (script outbreak_old_work). After other failures any success
 // clears the score: the task may have been the cause, and a worker with a score is used last.
-func (h *shard) learn(w *workerState, r *run, outcome job.Outcome) {
+func (h *shard) recordOutcome(w *workerState, r *run, outcome job.Outcome) {
 	now := time.Now()
 	switch outcome {
 	case job.Succeeded:
 		if r.placed.After(w.immediateFailureAt) {
-			w.doubt = failureScore{}
+			w.failureScore = failureScore{}
 		}
 		w.recordHealthyRun(r)
 		if r.saved == "" && !r.adopted {
-			if !r.learned && !r.far {
-				h.learned.ran(r.job.Request, r.task.Step, now.Sub(r.placed))
+			if !r.usedForEstimate && !r.remote {
+				h.estimates.addRun(r.job.Request, r.task.Step, now.Sub(r.placed))
 			}
 			h.learnSpeed(w, r, now.Sub(r.placed))
 		}
 	case job.FailedRun:
-		w.doubt.add(h.failureWeight(w, r, now), now)
+		w.failureScore.add(h.failureWeight(w, r, now), now)
 	}
 }
 
@@ -93,13 +93,13 @@
 	if !r.confirmed.IsZero() {
 		begun = r.confirmed
 	}
-	atOnce := min(immediateFailureMax, time.Duration(immediateFailureShare*float64(h.learned.task(r.job.Request, r.task.Step))))
+	atOnce := min(immediateFailureMax, time.Duration(immediateFailureShare*float64(h.estimates.taskTime(r.job.Request, r.task.Step))))
 	switch {
 	case now.Sub(begun) < atOnce:
-		h.outbreak.failed(r.placed, now)
+		h.failureBurst.failed(r.placed, now)
 		w.immediateFailureAt = now
 		return immediateFailureWeight
-	case len(r.job.avoid[r.group()]) > 0:
+	case len(r.job.avoidWorkers[r.group()]) > 0:
 		return repeatedFailureWeight // Failing elsewhere too, the task is the more likely cause.
 	}
 	return 1
--- a/internal/scheduler/doubt_test.go
+++ b/internal/scheduler/failure_score_test.go
@@ -30,15 +30,15 @@
 		{"after some work", 2 * time.Second, false, 0, false},
 	} {
 		inBubble(t, c.name, func(t *testing.T) {
-			j := &liveJob{Life: job.NewLife(request("a", 4*time.Second), nil), avoid: map[job.Group]map[string]bool{}}
+			j := &trackedJob{Tracker: job.NewTracker(request("a", 4*time.Second), nil), avoidWorkers: map[job.Group]map[string]bool{}}
 			if c.earlier {
-				j.avoid[job.Group{}] = map[string]bool{"other": true}
+				j.avoidWorkers[job.Group{}] = map[string]bool{"other": true}
 			}
 			now := time.Now()
 			h, w := &shard{}, &workerState{}
 			r := &run{job: j, placed: now.Add(-c.age), confirmed: now.Add(-c.age)}
-			h.learn(w, r, job.FailedRun)
-			quicktest.Assert(t, w.doubt.barred(now.Add(c.barredIn)), quicktest.Equals, c.barred)
+			h.recordOutcome(w, r, job.FailedRun)
+			quicktest.Assert(t, w.failureScore.quarantined(now.Add(c.barredIn)), quicktest.Equals, c.barred)
 		})
 	}
 }
--- a/internal/scheduler/follow.go
+++ b/internal/scheduler/follow.go
@@ -62,7 +62,7 @@
 		}
 		version = listing.Version
 		h.mu.Lock()
-		h.takeListing(listing, complete)
+		h.applyListing(listing, complete)
 		h.mu.Unlock()
 		if !listing.More {
 			interval.Sleep(h.ctx, workersPollDelay)
--- a/internal/scheduler/follow_test.go
+++ b/internal/scheduler/follow_test.go
@@ -38,10 +38,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, done := context.WithCancel(context.Background())
 		d := &fullDirectory{full: 3, done: done}
-		h := keptShard()
+		h := offlineShard()
 		h.Directory, h.ctx = d, ctx
 		h.watchDirectory(0, feedAge{})
-		h.ordering.Wait()
+		h.background.Wait()
 		for i := 1; i < len(d.asked); i++ {
 			pause := time.Duration(0)
 			if i > d.full {
@@ -101,7 +101,7 @@
 	}
 	time.Sleep(d.takes[len(d.asked)-1])
 	leaves := len(d.asked) == len(d.takes)
-	l := Listing{Workers: []fleet.Worker{{ID: "w", Draining: leaves, Leaves: 3 * time.Second}}}
+	l := Listing{Workers: []fleet.Worker{{ID: "w", Draining: leaves, TimeLeft: 3 * time.Second}}}
 	for i := range maxAwaitedChanges {
 		l.Workers = append(l.Workers, fleet.Worker{ID: fmt.Sprint("v", i)})
 	}
@@ -115,16 +115,16 @@
 	for _, late := range []time.Duration{0, 110 * time.Millisecond, 400 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			h, w := silentShard()
+			h, w := shardWithRun()
 			w.clock = 0 // No poll is sent.
 			d := &lateDirectory{takes: []time.Duration{0, late}}
 			h.Directory, h.ctx = d, ctx
-			h.ordering.Go(func() { h.watchDirectory(0, feedAge{}) })
+			h.background.Go(func() { h.watchDirectory(0, feedAge{}) })
 			time.Sleep(5 * time.Second)
 			cancel()
-			h.ordering.Wait()
+			h.background.Wait()
 			r := w.runs[job.Task{Job: "j"}]
-			quicktest.Check(t, r.stopAsked.Sub(d.asked[0]), quicktest.Equals, 3*time.Second-h.Bounds.StopTime-stopMargin)
+			quicktest.Check(t, r.stopRequested.Sub(d.asked[0]), quicktest.Equals, 3*time.Second-h.Bounds.StopTime-stopMargin)
 		})
 	}
 }
--- a/internal/scheduler/forget.go
+++ b/internal/scheduler/forget.go
@@ -17,9 +17,9 @@
 // pastJobs is what is kept besides the tracked jobs.
 type pastJobs struct {
 	// Cancellations that arrived before their requests, with the time of arrival.
-	early     map[job.ID]time.Time
-	away      map[job.ID][]string  // Parts of the store, other than the first one, that hold rows of a job.
-	forgotten map[job.ID]forgotten // Jobs that were dropped recently.
+	earlyCancellations map[job.ID]time.Time
+	otherParts         map[job.ID][]string  // Parts of the store, other than the first one, that hold rows of a job.
+	forgotten          map[job.ID]forgotten // Jobs that were dropped recently.
 }
 
 // forgetLoop deletes the rows of old jobs: the requests first and the progress after them, so that a successor
@@ -31,19 +31,19 @@
 		old := h.oldJobs()
 		away := map[job.ID][]string{}
 		for _, id := range old {
-			away[id] = h.away[id]
+			away[id] = h.otherParts[id]
 		}
 		h.mu.Unlock()
 		if len(old) == 0 {
 			continue
 		}
-		if err := h.Ledger.Drop(h.ctx, old, away); err != nil {
+		if err := h.Ledger.DeleteRequests(h.ctx, old, away); err != nil {
 			h.Log.Warn("scheduler: unable to delete the requests of old jobs; retrying", logsink.Error(err))
 			continue
 		}
 		h.mu.Lock()
 		for _, id := range old {
-			h.dropped = append(h.dropped, h.forgottenAs(id))
+			h.droppedJobs = append(h.droppedJobs, h.forgottenAs(id))
 			h.forget(id)
 		}
 		h.mu.Unlock()
@@ -61,11 +61,11 @@
 const forgottenRetention = time.Minute
 
 // forgottenAs returns the rows to delete of a job, or of a cancellation without a job.
-func (h *shard) forgottenAs(id job.ID) ledger.Forgotten {
+func (h *shard) forgottenAs(id job.ID) ledger.JobDeletion {
 	if j := h.jobs[id]; j != nil {
-		return ledger.ForgottenAs(id, &j.Progress)
+		return ledger.DeletionOf(id, &j.Progress)
 	}
-	return ledger.Forgotten{ID: id}
+	return ledger.JobDeletion{ID: id}
 }
 
 // forget drops all state of a job.
@@ -75,12 +75,12 @@
 		for s := range j.Request.Steps {
 			delete(h.stepTimes, stepOf(id, s))
 		}
-		h.learned.forget(j.Request)
+		h.estimates.forget(j.Request)
 	}
 	delete(h.jobs, id)
 	delete(h.dirty, id)
-	delete(h.early, id)
-	delete(h.away, id)
+	delete(h.earlyCancellations, id)
+	delete(h.otherParts, id)
 }
 
 // oldJobs returns some of the jobs, and cancellations without a job, that need not be shown any more.
@@ -89,13 +89,13 @@
 	var ids []job.ID
 	rows := 0
 	for id, j := range h.jobs {
-		if rows < ledger.MaxForgetRows && j.Progress.State.Final() && j.Progress.EndedAt < oldest.UnixMilli() && len(j.Running()) == 0 && h.isCommitted(id) {
+		if rows < ledger.MaxDeletedRows && j.Progress.State.Final() && j.Progress.EndedAt < oldest.UnixMilli() && len(j.Running()) == 0 && h.isCommitted(id) {
 			ids = append(ids, id)
-			rows += ledger.Rows(&j.Progress)
+			rows += ledger.ProgressRows(&j.Progress)
 		}
 	}
-	for id, at := range h.early {
-		if rows < ledger.MaxForgetRows && at.Before(oldest) {
+	for id, at := range h.earlyCancellations {
+		if rows < ledger.MaxDeletedRows && at.Before(oldest) {
 			ids = append(ids, id)
 			rows++
 		}
@@ -105,16 +105,16 @@
 
 // takeDropped removes and returns the dropped jobs whose rows the next batch deletes. While commits fail, more
 // accumulate than fit into one batch.
-func (h *shard) takeDropped() []ledger.Forgotten {
+func (h *shard) takeDropped() []ledger.JobDeletion {
 	rows, n := 0, 0
-	for n < len(h.dropped) && rows < ledger.MaxForgetRows {
-		rows += h.dropped[n].Rows()
+	for n < len(h.droppedJobs) && rows < ledger.MaxDeletedRows {
+		rows += h.droppedJobs[n].Rows()
 		n++
 	}
-	taken := slices.Clone(h.dropped[:n])
-	h.dropped = slices.Delete(h.dropped, 0, n)
+	taken := slices.Clone(h.droppedJobs[:n])
+	h.droppedJobs = slices.Delete(h.droppedJobs, 0, n)
 	return taken
 }
 
 // isCommitted reports whether the latest progress of a job is committed.
-func (h *shard) isCommitted(id job.ID) bool { return !h.dirty[id] && h.underWay[id] == nil }
+func (h *shard) isCommitted(id job.ID) bool { return !h.dirty[id] && h.committing[id] == nil }
--- a/internal/scheduler/halls.go
+++ b/internal/scheduler/halls.go
@@ -45,7 +45,7 @@
 	if h.Halls == nil {
 		return openHalls{Halls: queue.Halls{AsOf: time.Now()}} // Without an operator no hall is ever emptied.
 	}
-	return openHalls{h.Halls(), h.Bounds.Emptied}
+	return openHalls{h.Halls(), h.Bounds.EmptiedGrace}
 }
 
 // updateHalls returns the halls that are open at a decision. It drops reservations in halls that are now emptied, so
@@ -82,14 +82,14 @@
 // withdraw takes back a placement whose start must not be sent any more. If no try was sent before, the run never
 // began; otherwise it is stopped. A gang starts again as a whole.
 func (h *shard) withdraw(w *workerState, r *run, try int, why string) {
-	h.Log.Info("scheduler: start withdrawn", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(r.life),
+	h.Log.Info("scheduler: start withdrawn", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(r.incarnation),
 		zap.String("hall", w.Hall), zap.Int("try", try), zap.String("why", why))
-	r.ordering = false
+	r.starting = false
 	if try == 1 {
 		h.endUnstarted(w, r)
 		return
 	}
-	r.gaveUp = time.Now()
+	r.startAbandonedAt = time.Now()
 	h.stop(w, r, why)
 	h.stopGang(r, "a member's start was withdrawn")
 }
--- a/internal/scheduler/lives_test.go
+++ b/internal/scheduler/incarnations_test.go
@@ -8,27 +8,27 @@
 
 	"github.com/frankban/quicktest"
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
 	"github.com/pulleyring/pulleyring/internal/ledger"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
-// Two incarnations of the worker of silentShard.
+// Two incarnations of the worker of shardWithRun.
 var (
-	firstIncarnation  = life.ID{Worker: "w", Born: 1000}
-	secondIncarnation = life.ID{Worker: "w", Born: 2000}
+	firstIncarnation  = incarnation.ID{Worker: "w", Born: 1000}
+	secondIncarnation = incarnation.ID{Worker: "w", Born: 2000}
 )
 
-// shardWithIncarnation returns silentShard with a worker that has a start time. No command reaches a worker
+// shardWithIncarnation returns shardWithRun with a worker that has a start time. No command reaches a worker
 // there.
 func shardWithIncarnation() (*shard, *workerState) {
-	h, w := silentShard()
+	h, w := shardWithRun()
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	h.ctx, h.tenure, h.Orders = over, &ledger.Tenure{}, unreachable{}
-	w.life, w.Born, w.listed = firstIncarnation, firstIncarnation.Born, true
+	h.ctx, h.leaseTerm, h.Commands = over, &ledger.LeaseTerm{}, unreachable{}
+	w.incarnation, w.Born, w.listed = firstIncarnation, firstIncarnation.Born, true
 	for _, r := range w.runs {
-		r.life, r.ordered = firstIncarnation, time.Now()
+		r.incarnation, r.startSent = firstIncarnation, time.Now()
 	}
 	return h, w
 }
@@ -40,10 +40,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
 		task := job.Task{Job: "j"}
-		h.takeReport(w, &fleet.Report{Life: firstIncarnation, Clock: 50000, Running: []fleet.Run{{Task: task, Run: 1}}}, w.mark(), 0)
+		h.applyReport(w, &fleet.Report{Incarnation: firstIncarnation, Clock: 50000, Running: []fleet.Run{{Task: task, Run: 1}}}, w.sendState(), 0)
 		w.applied, w.acknowledged = 2, 2
 		quicktest.Check(t, w.toForget(), quicktest.Equals, int64(2))
-		h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 900}, w.mark(), 2)
+		h.applyReport(w, &fleet.Report{Incarnation: secondIncarnation, Clock: 900}, w.sendState(), 2)
 		quicktest.Check(t, w.runs, quicktest.HasLen, 0)
 		quicktest.Check(t, h.jobs["j"].LossesOf(task).All, quicktest.Equals, 1)
 		quicktest.Check(t, w.toForget(), quicktest.Equals, int64(0))
@@ -51,9 +51,9 @@
 		h.applyWorkerRecord(&fleet.Worker{ID: "w", Born: secondIncarnation.Born, Capacity: job.Resources{Accelerators: 8}}, time.Time{})
 		quicktest.Check(t, w.usable(time.Now()), quicktest.IsTrue)
 
-		h.place(&h.takeView(time.Now()).Demands[0], map[int]string{0: "w"}, time.Now())
-		w.runs[task].ordered = time.Now()
-		h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 2900, Ended: []fleet.End{{Number: 1, Task: task, Run: 2, Outcome: job.Succeeded}}}, w.mark(), 0)
+		h.place(&h.updateView(time.Now()).Demands[0], map[int]string{0: "w"}, time.Now())
+		w.runs[task].startSent = time.Now()
+		h.applyReport(w, &fleet.Report{Incarnation: secondIncarnation, Clock: 2900, Ended: []fleet.End{{Number: 1, Task: task, Run: 2, Outcome: job.Succeeded}}}, w.sendState(), 0)
 		quicktest.Check(t, h.jobs["j"].Progress.State, quicktest.Equals, job.Completed)
 	})
 }
@@ -64,9 +64,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
 		task := job.Task{Job: "j"}
-		h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 30, Running: []fleet.Run{{Task: task, Run: 1}}}, w.mark(), 0)
+		h.applyReport(w, &fleet.Report{Incarnation: secondIncarnation, Clock: 30, Running: []fleet.Run{{Task: task, Run: 1}}}, w.sendState(), 0)
 		quicktest.Assert(t, w.runs, quicktest.HasLen, 1)
-		quicktest.Check(t, w.runs[task].life, quicktest.Equals, secondIncarnation)
+		quicktest.Check(t, w.runs[task].incarnation, quicktest.Equals, secondIncarnation)
 		quicktest.Check(t, h.jobs["j"].LossesOf(task).All, quicktest.Equals, 0)
 	})
 }
@@ -76,12 +76,12 @@
 func TestLateReportOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
-		task, before := job.Task{Job: "j"}, w.mark()
-		h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 30}, w.mark(), 0)
-		h.takeReport(w, &fleet.Report{Life: firstIncarnation, Clock: 60000, Ended: []fleet.End{{Number: 9, Task: task, Run: 1, Outcome: job.Succeeded}}}, before, 8)
+		task, before := job.Task{Job: "j"}, w.sendState()
+		h.applyReport(w, &fleet.Report{Incarnation: secondIncarnation, Clock: 30}, w.sendState(), 0)
+		h.applyReport(w, &fleet.Report{Incarnation: firstIncarnation, Clock: 60000, Ended: []fleet.End{{Number: 9, Task: task, Run: 1, Outcome: job.Succeeded}}}, before, 8)
 		quicktest.Check(t, h.jobs["j"].Progress.State, quicktest.Equals, job.Completed)
-		quicktest.Check(t, w.life, quicktest.Equals, secondIncarnation)
-		quicktest.Check(t, []int64{w.clock, w.applied, w.told}, quicktest.DeepEquals, []int64{30, 0, 0})
+		quicktest.Check(t, w.incarnation, quicktest.Equals, secondIncarnation)
+		quicktest.Check(t, []int64{w.clock, w.applied, w.forgotten}, quicktest.DeepEquals, []int64{30, 0, 0})
 		quicktest.Check(t, h.applyWorkerRecord(&fleet.Worker{ID: "w", Born: firstIncarnation.Born, Draining: true}, time.Time{}), quicktest.IsFalse)
 		quicktest.Check(t, w.Draining, quicktest.IsFalse)
 	})
@@ -92,16 +92,16 @@
 func TestClockGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
-		h.held = time.Now()
-		h.takeReport(w, &fleet.Report{Life: firstIncarnation, Clock: 50000, Running: []fleet.Run{{Task: job.Task{Job: "j"}, Run: 1}}}, w.mark(), 0)
+		h.lastCommit = time.Now()
+		h.applyReport(w, &fleet.Report{Incarnation: firstIncarnation, Clock: 50000, Running: []fleet.Run{{Task: job.Task{Job: "j"}, Run: 1}}}, w.sendState(), 0)
 		w.applied, w.acknowledged = 2, 2
 		certain := func() bool { return w.usable(time.Now()) && h.renew(w) > 0 && w.toForget() == 2 }
 		quicktest.Check(t, certain(), quicktest.IsTrue)
-		overtaken := w.mark()
-		h.answered(w, w.mark(), 50200, nil, "start")
-		h.answered(w, overtaken, 50100, nil, "start")
+		overtaken := w.sendState()
+		h.recordAnswer(w, w.sendState(), 50200, nil, "start")
+		h.recordAnswer(w, overtaken, 50100, nil, "start")
 		quicktest.Check(t, certain(), quicktest.IsTrue, quicktest.Commentf("answers may overtake each other"))
-		h.answered(w, w.mark(), 50100, nil, "start")
+		h.recordAnswer(w, w.sendState(), 50100, nil, "start")
 		quicktest.Check(t, w.usable(time.Now()) || h.renew(w) > 0 || w.toForget() > 0, quicktest.IsFalse)
 		quicktest.Check(t, w.clock, quicktest.Equals, int64(50100), quicktest.Commentf("the clock of the overtaken answer"))
 	})
@@ -111,23 +111,23 @@
 // replaced. The run was lost with it and did not fail to start, so the loss must count against its task.
 func TestRunAdoptedOnAnEarlierIncarnation(t *testing.T) {
 	for _, c := range []struct {
-		placed life.ID
+		placed incarnation.ID
 		losses int
-	}{{firstIncarnation, 1}, {secondIncarnation, 0}, {life.ID{Worker: "w"}, 0}} {
+	}{{firstIncarnation, 1}, {secondIncarnation, 0}, {incarnation.ID{Worker: "w"}, 0}} {
 		synctest.Test(t, func(t *testing.T) {
-			h := keptShard()
+			h := offlineShard()
 			over, cancel := context.WithCancel(context.Background())
 			cancel()
-			h.ctx, h.tenure, h.Orders = over, &ledger.Tenure{}, unreachable{}
-			h.takeListing(Listing{Workers: []fleet.Worker{{ID: "w", Born: secondIncarnation.Born, Address: "a"}}}, true)
+			h.ctx, h.leaseTerm, h.Commands = over, &ledger.LeaseTerm{}, unreachable{}
+			h.applyListing(Listing{Workers: []fleet.Worker{{ID: "w", Born: secondIncarnation.Born, Address: "a"}}}, true)
 			h.addJob(&job.Request{ID: "j", Steps: []job.Step{{Count: 1}}}, &job.Progress{
 				State: job.Running, GangRuns: []int{0}, Tasks: []job.TaskProgress{{State: job.Placed, Run: 1, Worker: c.placed}},
 			})
 			w := h.workers["w"]
-			h.takeReport(w, &fleet.Report{Life: secondIncarnation, Clock: 30}, w.mark(), 0)
+			h.applyReport(w, &fleet.Report{Incarnation: secondIncarnation, Clock: 30}, w.sendState(), 0)
 			quicktest.Check(t, w.runs, quicktest.HasLen, 0)
 			quicktest.Check(t, h.jobs["j"].LossesOf(job.Task{Job: "j"}).All, quicktest.Equals, c.losses, quicktest.Commentf("placed on %v", c.placed))
-			h.ordering.Wait()
+			h.background.Wait()
 		})
 	}
 }
@@ -144,7 +144,7 @@
 		h.endIncarnation(h.workers["w"])
 		time.Sleep(endedIncarnationRetention + time.Second)
 		quicktest.Check(t, h.applyWorkerRecord(&fleet.Worker{ID: "w", Born: secondIncarnation.Born}, time.Time{}), quicktest.IsTrue)
-		h.ordering.Wait()
+		h.background.Wait()
 	})
 }
 
@@ -154,19 +154,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		h, w := shardWithIncarnation()
 		r := w.runs[job.Task{Job: "j"}]
-		w.noteOpen(r, time.Now())
+		w.recordOpenStart(r, time.Now())
 		waiting := func() int { return len(h.demand(h.jobs["j"], job.Group{}, time.Now()).Waiting) }
-		for _, l := range []life.ID{secondIncarnation, {Worker: "w", Born: 3000}} {
-			h.takeReport(w, &fleet.Report{Life: l, Clock: 30}, w.mark(), 0)
+		for _, l := range []incarnation.ID{secondIncarnation, {Worker: "w", Born: 3000}} {
+			h.applyReport(w, &fleet.Report{Incarnation: l, Clock: 30}, w.sendState(), 0)
 			quicktest.Assert(t, waiting(), quicktest.Equals, 0, quicktest.Commentf("%v", l))
-			quicktest.Check(t, h.whyHeld(h.jobs["j"]), quicktest.DeepEquals, []string{
+			quicktest.Check(t, h.explainHeldTasks(h.jobs["j"]), quicktest.DeepEquals, []string{
 				"task 0 of step 0 is held: its run 1 on " + l.String() + " is being stopped since 0s, as it was ordered to an earlier life",
 			})
-			w.runs[r.task].stopKnown = time.Now()
+			w.runs[r.task].stopAccepted = time.Now()
 			time.Sleep(time.Millisecond)
-			h.takeReport(w, &fleet.Report{Life: l, Clock: 31}, w.mark(), 0)
+			h.applyReport(w, &fleet.Report{Incarnation: l, Clock: 31}, w.sendState(), 0)
 			quicktest.Check(t, waiting(), quicktest.Equals, 1)
-			quicktest.Check(t, h.whyHeld(h.jobs["j"]), quicktest.HasLen, 0)
+			quicktest.Check(t, h.explainHeldTasks(h.jobs["j"]), quicktest.HasLen, 0)
 		}
 	})
 }
@@ -178,5 +178,5 @@
 	quicktest.Check(t, h.applyWorkerRecord(&fleet.Worker{ID: "w"}, time.Time{}), quicktest.IsFalse)
 	quicktest.Check(t, w.listed, quicktest.IsFalse)
 	quicktest.Check(t, w.foreign, quicktest.IsTrue)
-	quicktest.Check(t, w.life, quicktest.Equals, firstIncarnation)
+	quicktest.Check(t, w.incarnation, quicktest.Equals, firstIncarnation)
 }
--- a/internal/scheduler/home_test.go
+++ b/internal/scheduler/known_address_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/frankban/quicktest"
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
 	"github.com/pulleyring/pulleyring/internal/ledger"
-	"github.com/pulleyring/pulleyring/internal/life"
 )
 
 // TestOtherIncarnationAtOtherAddressAfterTakeover fails if the runs of a worker are ended by the answer of another
@@ -25,19 +25,19 @@
 		{"nobody knows where it was reached", "", "10.0.0.2:80", true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			h := keptShard()
+			h := offlineShard()
 			ended, cancel := context.WithCancel(context.Background())
 			cancel() // No poll is sent.
 			h.ctx = ended
-			h.addresses.begin(ledger.Addresses{life.ID{Worker: "w"}: c.before})
+			h.addresses.begin(ledger.Addresses{incarnation.ID{Worker: "w"}: c.before})
 			h.addJob(&job.Request{ID: "j", Steps: []job.Step{{Count: 1}}}, &job.Progress{
-				State: job.Running, GangRuns: []int{0}, Tasks: []job.TaskProgress{{State: job.Placed, Run: 1, Worker: life.ID{Worker: "w"}}},
+				State: job.Running, GangRuns: []int{0}, Tasks: []job.TaskProgress{{State: job.Placed, Run: 1, Worker: incarnation.ID{Worker: "w"}}},
 			})
-			h.takeListing(Listing{Workers: []fleet.Worker{{ID: "w", Address: c.recorded}}}, true)
+			h.applyListing(Listing{Workers: []fleet.Worker{{ID: "w", Address: c.recorded}}}, true)
 			w := h.workers["w"]
-			h.noteFailure(w, w.mark(), fleet.OtherLife, "look")
+			h.recordFailure(w, w.sendState(), fleet.OtherIncarnation, "look")
 			quicktest.Check(t, len(w.runs) == 0, quicktest.Equals, c.ended, quicktest.Commentf(c.name))
-			h.ordering.Wait()
+			h.background.Wait()
 		})
 	}
 }
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -11,10 +11,10 @@
 	// departingLeaseDuration is the same for a worker that is departing or whose record was removed: it will soon be
 	// silent, and its runs end with it in any case.
 	departingLeaseDuration = 2500 * time.Millisecond
-	// renewedFor is how long after its last commit a lease term may renew leases on workers. A box that was replaced
+	// maxRenewalTime is how long after its last commit a lease term may renew leases on workers. A box that was replaced
 	// and has not noticed must stop at some time, because its successor may be unable to reach every worker that it
 	// can reach. In an outage of the store, runs continue for this time plus one lease.
-	renewedFor = 8 * time.Second
+	maxRenewalTime = 8 * time.Second
 	// stopSlack is how much longer than the stop time a worker may need to end its runs after its lease has expired,
 	// as processes on a busy machine are late.
 	stopSlack = 300 * time.Millisecond
@@ -24,50 +24,50 @@
 // leases may last.
 type leaseTermTimes struct {
 	// Start of the last successful commit. The shard's lease was certainly held at some time after that.
-	held                time.Time
-	lastCommitSuspended time.Duration // Total time that the machine had been suspended by then.
-	marks               marks         // The last commits with the versions that the store gave them.
-	quiet               time.Time     // No predecessor committed anything after this time.
-	storeOut            time.Time     // Time of the last failed call to the store.
-	replaced            bool          // Another box holds the lease.
+	lastCommit             time.Time
+	lastCommitSuspended    time.Duration // Total time that the machine had been suspended by then.
+	recentCommits          commitMarks   // The last commits with the versions that the store gave them.
+	predecessorsQuietSince time.Time     // No predecessor committed anything after this time.
+	storeFailedAt          time.Time     // Time of the last failed call to the store.
+	replaced               bool          // Another box holds the lease.
 }
 
 // leases holds what is known about the leases on a worker.
 type leases struct {
 	// The worker has accepted a command with this lease term's token, so no predecessor can renew its leases.
-	own  bool
-	over time.Time // By then all runs on the worker have certainly ended, unless leases are renewed.
+	ownTerm bool
+	endedBy time.Time // By then all runs on the worker have certainly ended, unless leases are renewed.
 }
 
 // extend records that runs may last until a given time. An earlier time than the recorded one has no effect.
 func (l *leases) extend(until time.Time) {
-	if until.After(l.over) {
-		l.over = until
+	if until.After(l.endedBy) {
+		l.endedBy = until
 	}
 }
 
-// slowed returns the longest time until a worker's clock, which may be slow, has advanced by d.
-func slowed(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + clockDrift)) }
+// onSlowClock returns the longest time until a worker's clock, which may be slow, has advanced by d.
+func onSlowClock(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + clockDrift)) }
 
-// endsWithin returns how long after its lease has expired, by its own clock, a worker has certainly ended all runs.
-func (b *Bounds) endsWithin() time.Duration { return b.StopTime + stopSlack }
+// maxEndDelay returns how long after its lease has expired, by its own clock, a worker has certainly ended all runs.
+func (b *Bounds) maxEndDelay() time.Duration { return b.StopTime + stopSlack }
 
-// longestLease returns the time by which all runs have certainly ended if their leases were last renewed, by any box,
+// latestEnd returns the time by which all runs have certainly ended if their leases were last renewed, by any box,
 // at the given time.
-func (b *Bounds) longestLease(renewed time.Time) time.Time {
-	return renewed.Add(slowed(b.MaxLease) + b.endsWithin())
+func (b *Bounds) latestEnd(renewed time.Time) time.Time {
+	return renewed.Add(onSlowClock(b.MaxLease) + b.maxEndDelay())
 }
 
-// lease returns the time for which leases on a worker are renewed.
-func (b *Bounds) lease(departing bool) time.Duration {
+// renewalTime returns the time for which leases on a worker are renewed.
+func (b *Bounds) renewalTime(departing bool) time.Duration {
 	if departing {
 		return min(departingLeaseDuration, b.MaxLease)
 	}
 	return min(leaseDuration, b.MaxLease)
 }
 
-// leaves reports whether a worker is departing: it has announced that, or its record was removed.
-func (w *workerState) leaves() bool { return w.Draining || !w.listed }
+// isDeparting reports whether a worker is departing: it has announced that, or its record was removed.
+func (w *workerState) isDeparting() bool { return w.Draining || !w.listed }
 
 // renew returns the time, in ms of the worker's clock, until which a command may renew the worker's leases, and
 // records that they may last until then. It returns 0 if they must not be renewed: the last commit of the lease term
@@ -75,23 +75,23 @@
 func (h *shard) renew(w *workerState) int64 {
 	now := time.Now()
 	renewed := now
-	if last := h.held.Add(renewedFor - h.suspendedSince(h.lastCommitSuspended)); renewed.After(last) {
+	if last := h.lastCommit.Add(maxRenewalTime - h.suspendedSince(h.lastCommitSuspended)); renewed.After(last) {
 		renewed = last
 	}
-	until := renewed.Add(h.Bounds.lease(w.leaves()))
-	if !until.After(now) || len(w.owed) > 0 || !w.isCertain() {
+	until := renewed.Add(h.Bounds.renewalTime(w.isDeparting()))
+	if !until.After(now) || len(w.pendingStops) > 0 || !w.isCertain() {
 		return 0
 	}
-	w.leases.extend(w.clockAt.Add(slowed(until.Sub(w.clockAt)) + h.Bounds.endsWithin()))
+	w.leases.extend(w.clockAt.Add(onSlowClock(until.Sub(w.clockAt)) + h.Bounds.maxEndDelay()))
 	return w.clock + until.Sub(w.clockAt).Milliseconds()
 }
 
-// tookOrder records that a worker has executed a command of this lease term. From now on it refuses commands of
+// recordFirstCommand records that a worker has executed a command of this lease term. From now on it refuses commands of
 // predecessors.
-func (h *shard) tookOrder(w *workerState) {
-	if !w.leases.own {
-		w.leases = leases{own: true, over: h.Bounds.longestLease(time.Now())}
-		w.home = w.target().Address
+func (h *shard) recordFirstCommand(w *workerState) {
+	if !w.leases.ownTerm {
+		w.leases = leases{ownTerm: true, endedBy: h.Bounds.latestEnd(time.Now())}
+		w.knownAddress = w.target().Address
 	}
 }
 
@@ -103,8 +103,8 @@
 
 // totalSuspended returns the total time that the machine has been suspended, or 0 if it can't be measured.
 func (h *shard) totalSuspended() time.Duration {
-	if h.Slept == nil {
+	if h.Suspended == nil {
 		return 0
 	}
-	return h.Slept()
+	return h.Suspended()
 }
--- a/internal/scheduler/lease_test.go
+++ b/internal/scheduler/lease_test.go
@@ -46,18 +46,18 @@
 		bounds := Bounds{MaxLease: 2*time.Second + drawDuration(r, "longest lease", 10*time.Second), StopTime: drawDuration(r, "stop", 2*time.Second)}
 		begin := time.Now()
 		worker := &leaseModel{born: begin.Add(-drawDuration(r, "age", time.Hour)), clockRate: rapid.Float64Range(0.98, 1).Draw(r, "rate"), maxLease: bounds.MaxLease}
-		h := keptShard()
+		h := offlineShard()
 		h.Bounds = bounds
-		h.held = begin.Add(-drawDuration(r, "committed before", 12*time.Second))
+		h.lastCommit = begin.Add(-drawDuration(r, "committed before", 12*time.Second))
 		w := workerOf(&fleet.Worker{ID: "w"})
 		w.listed = true
-		w.leases.own = true
+		w.leases.ownTerm = true
 		for range rapid.IntRange(1, 12).Draw(r, "orders") {
 			w.Draining = rapid.Bool().Draw(r, "leaves")
 			w.clockAt = time.Now().Add(-drawDuration(r, "heard before", 5*time.Second))
 			w.clock = worker.clock(w.clockAt.Add(-drawDuration(r, "answer under way", 3*time.Second)))
-			if committed := time.Now().Add(-drawDuration(r, "committed before", 3*time.Second)); rapid.Bool().Draw(r, "commits") && committed.After(h.held) {
-				h.held = committed
+			if committed := time.Now().Add(-drawDuration(r, "committed before", 3*time.Second)); rapid.Bool().Draw(r, "commits") && committed.After(h.lastCommit) {
+				h.lastCommit = committed
 			}
 			until := h.renew(w)
 			if until == 0 {
@@ -66,11 +66,11 @@
 			worker.execute(until, time.Now().Add(drawDuration(r, "order under way", 9*time.Second)))
 			stopped := worker.leaseEnd.Add(bounds.StopTime)
 			// The slack is for busy machines, not for slow clocks.
-			if late := stopped.Add(stopSlack).Sub(w.leases.over); late > 0 {
+			if late := stopped.Add(stopSlack).Sub(w.leases.endedBy); late > 0 {
 				r.Fatalf("runs end %v after they were presumed ended", late)
 			}
 			// No commit came after the last one; a successor saw that just then at the earliest.
-			if late := stopped.Sub(bounds.longestLease(h.held.Add(renewedFor))); late > 0 {
+			if late := stopped.Sub(bounds.latestEnd(h.lastCommit.Add(maxRenewalTime))); late > 0 {
 				r.Fatalf("runs end %v after a successor presumed them ended", late)
 			}
 		}
--- a/internal/scheduler/leaving.go
+++ b/internal/scheduler/leaving.go
@@ -55,13 +55,13 @@
 	}
 	for _, r := range w.runs {
 		d := h.departureOf(w, r, now)
-		if r.held.stopping || !d.isWorkLost() {
+		if r.allocation.stopping || !d.isWorkLost() {
 			continue
 		}
 		h.Figures.Count("runs_left")
 		h.Log.Info("scheduler: stopping a run that can't end before its worker leaves; its task restarts elsewhere", zap.String("job", string(r.task.Job)), zap.Int("step", r.task.Step),
-			zap.Int("run", r.number), zap.Inline(w.life), zap.Duration("left", d.untilLeaving), zap.Duration("worked", d.worked), zap.Float64("share", d.share))
-		for _, m := range r.held.runs {
+			zap.Int("run", r.number), zap.Inline(w.incarnation), zap.Duration("left", d.untilLeaving), zap.Duration("worked", d.worked), zap.Float64("share", d.share))
+		for _, m := range r.allocation.runs {
 			h.stop(m.worker, m, "a worker leaves")
 		}
 	}
@@ -75,18 +75,18 @@
 		w.leavesAt, w.staysUntil = time.Time{}, time.Time{}
 		return
 	}
-	written := h.marks.writtenAfter(record.Version)
+	written := h.recentCommits.writtenAfter(record.Version)
 	// The same record read again was not written since.
-	if isNews := !w.Draining || record.Leaves != w.Leaves; isNews && asOf.After(written) {
+	if isNews := !w.Draining || record.TimeLeft != w.TimeLeft; isNews && asOf.After(written) {
 		written = asOf
 	}
-	if stays := written.Add(record.Leaves); !w.Draining || stays.After(w.staysUntil) {
+	if stays := written.Add(record.TimeLeft); !w.Draining || stays.After(w.staysUntil) {
 		w.staysUntil = stays
 	}
 	if w.leavesAt.IsZero() {
-		w.leavesAt = time.Now().Add(record.Leaves)
+		w.leavesAt = time.Now().Add(record.TimeLeft)
 		announced := w.leavesAt
-		h.ordering.Go(func() { h.drainLeaving(w, announced) })
+		h.background.Go(func() { h.drainLeaving(w, announced) })
 	}
 }
 
@@ -95,7 +95,7 @@
 // won't end in time are stopped first, as late as their stops surely take effect, and all others just before
 // the end. It returns early if leavesAt no longer equals announced.
 func (h *shard) drainLeaving(w *workerState, announced time.Time) {
-	h.stopBefore(w, announced, h.Bounds.StopTime+stopMargin, func(r *run) bool { return !r.held.endsBefore(w.staysUntil.Add(-finalStopTime)) })
+	h.stopBefore(w, announced, h.Bounds.StopTime+stopMargin, func(r *run) bool { return !r.allocation.endsBefore(w.staysUntil.Add(-finalStopTime)) })
 	h.stopBefore(w, announced, finalStopTime, func(*run) bool { return true })
 }
 
@@ -119,11 +119,11 @@
 // stopRuns stops the selected runs of a leaving worker, each with its gang.
 func (h *shard) stopRuns(w *workerState, isLeft func(*run) bool) {
 	for _, r := range w.runs {
-		if r.held.stopping || !isLeft(r) {
+		if r.allocation.stopping || !isLeft(r) {
 			continue
 		}
 		h.Figures.Count("runs_cleared")
-		for _, m := range r.held.runs {
+		for _, m := range r.allocation.runs {
 			h.stop(m.worker, m, "a worker is about to leave")
 		}
 	}
@@ -132,20 +132,20 @@
 // endsBefore reports whether all runs of the allocation should end before a time, as a gang ends with its last
 // member. When only the member on the leaving worker was checked, five of eight gangs that were left running
 // were 0.2 to 2 s from their end when the worker left. They restarted 5 s later, after its leases had expired.
-func (x *held) endsBefore(at time.Time) bool {
+func (x *allocation) endsBefore(at time.Time) bool {
 	return !slices.ContainsFunc(x.runs, func(r *run) bool { return !r.endsBefore(at) })
 }
 
 // endsBefore reports whether a run should end before a time, by its reported progress.
 func (r *run) endsBefore(at time.Time) bool {
 	p := &r.progress
-	if ends, known := p.end(); !known.IsZero() {
+	if ends, known := p.predictedEnd(); !known.IsZero() {
 		return ends.Before(at)
 	}
 	if r.saved != "" || r.confirmed.IsZero() || p.share <= 0 {
 		return false
 	}
-	whole := seconds(p.at.Sub(r.confirmed).Seconds() / p.share) // At most: the reported share is rounded down.
+	whole := seconds(p.reportedAt.Sub(r.confirmed).Seconds() / p.share) // At most: the reported share is rounded down.
 	return r.confirmed.Add(whole).Before(at)
 }
 
@@ -154,10 +154,10 @@
 func (h *shard) departureOf(w *workerState, r *run, now time.Time) departure {
 	step := &r.job.Request.Steps[r.task.Step]
 	p := &r.progress
-	if p.at.IsZero() || r.confirmed.IsZero() || r.saved != "" || step.Lasting {
+	if p.reportedAt.IsZero() || r.confirmed.IsZero() || r.saved != "" || step.Lasting {
 		return departure{}
 	}
 	return departure{
-		worked: p.at.Sub(r.confirmed), share: p.share, sinceReport: now.Sub(p.at), untilLeaving: w.leavesAt.Sub(now), checkpoints: step.Checkpoints,
+		worked: p.reportedAt.Sub(r.confirmed), share: p.share, sinceReport: now.Sub(p.reportedAt), untilLeaving: w.leavesAt.Sub(now), checkpoints: step.Checkpoints,
 	}
 }
--- a/internal/scheduler/leaving_test.go
+++ b/internal/scheduler/leaving_test.go
@@ -38,12 +38,12 @@
 // one was not drained for it.
 func TestWithdrawnDepartureDoesNotDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := silentShard()
-		defer h.ordering.Wait()
+		h, w := shardWithRun()
+		defer h.background.Wait()
 		r := w.runs[job.Task{Job: "j"}]
 		say := func(draining bool) {
 			record := w.Worker
-			record.Draining, record.Leaves = draining, 3*time.Second
+			record.Draining, record.TimeLeft = draining, 3*time.Second
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.applyWorkerRecord(&record, time.Now())
@@ -80,19 +80,19 @@
 		share        float64 // Of its work, done in the second before.
 	}{{0, 1800 * ms, 0}, {time.Second, 800 * ms, 0}, {5 * time.Second, 0, 0}, {0, 1800 * ms, 0.1}, {0, 2850 * ms, 0.9}, {time.Second, 1850 * ms, 0.9}} {
 		synctest.Test(t, func(t *testing.T) {
-			h, w := silentShard()
+			h, w := shardWithRun()
 			r := w.runs[job.Task{Job: "j"}]
 			w.clock = 0 // Unknown, so that nothing polls the worker.
 			said := time.Now()
-			r.confirmed, r.progress.at, r.progress.share = said.Add(-time.Second), said, c.share
+			r.confirmed, r.progress.reportedAt, r.progress.share = said.Add(-time.Second), said, c.share
 			record := w.Worker
-			record.Draining, record.Leaves = true, 3*time.Second
+			record.Draining, record.TimeLeft = true, 3*time.Second
 			h.mu.Lock()
 			h.applyWorkerRecord(&record, said.Add(-c.age))
 			h.mu.Unlock()
-			h.ordering.Wait()
+			h.background.Wait()
 			quicktest.Check(t, r.stopping, quicktest.IsTrue)
-			quicktest.Check(t, r.stopAsked.Sub(said), quicktest.Equals, c.stopsIn)
+			quicktest.Check(t, r.stopRequested.Sub(said), quicktest.Equals, c.stopsIn)
 		})
 	}
 }
@@ -108,7 +108,7 @@
 		stopsIn time.Duration
 	}{{0.9, 2850 * ms}, {0.2, 1800 * ms}, {0, 1800 * ms}} {
 		synctest.Test(t, func(t *testing.T) {
-			h, w := silentShard()
+			h, w := shardWithRun()
 			h.addJob(&job.Request{ID: "g", Steps: []job.Step{{Count: 2, Gang: true, Each: job.Resources{Accelerators: 1}}}, Terms: job.Terms{Attempts: 9}}, nil)
 			elsewhere := workerOf(&fleet.Worker{ID: "o", Capacity: job.Resources{Accelerators: 8}})
 			elsewhere.listed = true
@@ -119,16 +119,16 @@
 			said := time.Now()
 			here, there := w.runs[job.Task{Job: "g"}], elsewhere.runs[job.Task{Job: "g", Index: 1}]
 			for r, share := range map[*run]float64{here: 0.9, there: c.other} {
-				r.confirmed, r.progress.at, r.progress.share = said.Add(-time.Second), said, share
+				r.confirmed, r.progress.reportedAt, r.progress.share = said.Add(-time.Second), said, share
 			}
 			record := w.Worker
-			record.Draining, record.Leaves = true, 3*time.Second
+			record.Draining, record.TimeLeft = true, 3*time.Second
 			h.mu.Lock()
 			h.applyWorkerRecord(&record, said)
 			h.mu.Unlock()
-			h.ordering.Wait()
-			quicktest.Check(t, here.stopAsked.Sub(said), quicktest.Equals, c.stopsIn)
-			quicktest.Check(t, there.stopAsked.Sub(said), quicktest.Equals, c.stopsIn)
+			h.background.Wait()
+			quicktest.Check(t, here.stopRequested.Sub(said), quicktest.Equals, c.stopsIn)
+			quicktest.Check(t, there.stopRequested.Sub(said), quicktest.Equals, c.stopsIn)
 		})
 	}
 }
@@ -144,13 +144,13 @@
 		stopsIn time.Duration // After the first record was read, which was written at most 2 s before.
 	}{{6000 * ms, 2800 * ms}, {5500 * ms, 5000 * ms}, {3000 * ms, 2800 * ms}, {0, 2800 * ms}} {
 		synctest.Test(t, func(t *testing.T) {
-			h, w := silentShard()
+			h, w := shardWithRun()
 			r := w.runs[job.Task{Job: "j"}]
 			w.clock = 0 // Unknown, so that nothing polls the worker.
 			first := time.Now()
 			record := w.Worker
 			tell := func(leaves, age time.Duration) {
-				record.Draining, record.Leaves = true, leaves
+				record.Draining, record.TimeLeft = true, leaves
 				h.mu.Lock()
 				defer h.mu.Unlock()
 				h.applyWorkerRecord(&record, time.Now().Add(-age))
@@ -158,8 +158,8 @@
 			tell(6*time.Second, 2*time.Second)
 			time.Sleep(time.Second)
 			tell(c.leaves, 300*ms)
-			h.ordering.Wait()
-			quicktest.Check(t, r.stopAsked.Sub(first), quicktest.Equals, c.stopsIn)
+			h.background.Wait()
+			quicktest.Check(t, r.stopRequested.Sub(first), quicktest.Equals, c.stopsIn)
 		})
 	}
 }
--- a/internal/scheduler/loss.go
+++ b/internal/scheduler/loss.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 	"github.com/pulleyring/pulleyring/internal/loss"
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
@@ -18,7 +18,7 @@
 const (
 	otherIncarnation lossCause = iota // Another incarnation answers at its address.
 	recordGone                        // Its record is gone, and nothing ran there.
-	leasesOver                        // It is silent, and its leases have expired.
+	leasesExpired                     // It is silent, and its leases have expired.
 	restarted                         // A later incarnation of it answers.
 )
 
@@ -55,23 +55,23 @@
 	return nil
 }
 
-// loseWorker declares a worker lost, together with all of its runs.
-func (h *shard) loseWorker(w *workerState, cause lossCause) {
+// declareLost declares a worker lost, together with all of its runs.
+func (h *shard) declareLost(w *workerState, cause lossCause) {
 	h.Figures.Count("workers_lost_" + cause.metricName())
-	w.gone = true
-	h.Log.Warn("scheduler: worker declared lost; its runs are presumed ended", zap.Inline(w.life), zap.Stringer("why", cause), zap.Int("runs", len(w.runs)),
-		zap.String("hall", w.Hall), zap.Int("lost_in_hall", h.losses.Together(w.Hall, time.Now())), zap.Duration("known_for", time.Since(w.knownSince)), h.beliefOf(w))
+	w.declaredLost = true
+	h.Log.Warn("scheduler: worker declared lost; its runs are presumed ended", zap.Inline(w.incarnation), zap.Stringer("why", cause), zap.Int("runs", len(w.runs)),
+		zap.String("hall", w.Hall), zap.Int("lost_in_hall", h.lossDetector.RecentlyLost(w.Hall, time.Now())), zap.Duration("known_for", time.Since(w.knownSince)), h.observedStateField(w))
 	h.loseRuns(w, cause)
 	h.keepPendingStops(w, cause)
 	delete(h.workers, w.ID)
 	h.addresses.markChanged(w.ID)
-	h.roster = nil
+	h.sortedWorkers = nil
 }
 
 // loseRuns ends all runs of a worker and assesses what the loss tells about their tasks.
 func (h *shard) loseRuns(w *workerState, cause lossCause) {
 	runs := slices.Collect(maps.Values(w.runs))
-	lost := h.endLostRuns(w, w.life, runs, cause)
+	lost := h.endLostRuns(w, w.incarnation, runs, cause)
 	for _, r := range runs {
 		h.addPendingStop(w, r)
 	}
@@ -79,15 +79,15 @@
 }
 
 // endLostRuns ends runs that were lost with an incarnation of a worker and returns the loss for assessment.
-func (h *shard) endLostRuns(w *workerState, l life.ID, runs []*run, cause lossCause) loss.Worker {
+func (h *shard) endLostRuns(w *workerState, l incarnation.ID, runs []*run, cause lossCause) loss.Worker {
 	lost := h.workerLoss(w, l, runs, cause)
 	h.recordPresumedEnded(l, runs, cause)
 	newest, beside := newestStart(runs), len(runs)-1
 	for _, r := range runs {
 		r.lost = &runLoss{
-			Cause: cause, Ordered: !r.ordered.IsZero(), Newest: !r.ordered.Before(newest), LostBeside: beside, AnsweredFor: w.answeredFor(r),
+			Cause: cause, Ordered: !r.startSent.IsZero(), Newest: !r.startSent.Before(newest), LostBeside: beside, AnsweredFor: w.answeredFor(r),
 		}
-		h.endRun(w, r, job.Lapsed, "")
+		h.endRun(w, r, job.Expired, "")
 	}
 	return lost
 }
@@ -104,18 +104,18 @@
 		return
 	}
 	h.recordLostTogether(lost.Runs)
-	h.charge(h.losses.Lost(lost, time.Now()))
+	h.applyCharges(h.lossDetector.Lost(lost, time.Now()))
 }
 
 // workerLoss returns the loss of an incarnation with some runs, for assessment. Runs whose start was never sent
 // are left out, as they can't have caused it.
-func (h *shard) workerLoss(w *workerState, l life.ID, runs []*run, cause lossCause) loss.Worker {
-	lost := loss.Worker{Life: l, Address: w.Address, Heard: w.lastSeen(), Missed: w.missedAt, Proven: cause.proves() || w.nextRecord != nil}
+func (h *shard) workerLoss(w *workerState, l incarnation.ID, runs []*run, cause lossCause) loss.Worker {
+	lost := loss.Worker{Incarnation: l, Address: w.Address, LastSeen: w.lastSeen(), CommandUnanswered: w.missedAt, EndProven: cause.proves() || w.nextRecord != nil}
 	hall, rack := w.Hall, w.Rack
 	if cause == restarted { // What is known of the worker is of its present incarnation.
-		lost.Heard, lost.Missed = time.Time{}, time.Time{}
-		if f := &w.previous; f.incarnation.Is(l) {
-			lost.Address, lost.Heard, lost.Missed = f.record.Address, f.lastSeen, f.missedAt
+		lost.LastSeen, lost.CommandUnanswered = time.Time{}, time.Time{}
+		if f := &w.previous; f.incarnation.Matches(l) {
+			lost.Address, lost.LastSeen, lost.CommandUnanswered = f.record.Address, f.lastSeen, f.missedAt
 			hall, rack = f.record.Hall, f.record.Rack
 		}
 	}
@@ -129,16 +129,16 @@
 		}
 	}
 	for _, r := range runs {
-		if r.ordered.IsZero() && !r.adopted || r.job.Progress.State.Final() {
+		if r.startSent.IsZero() && !r.adopted || r.job.Progress.State.Final() {
 			continue
 		}
-		lost.Runs = append(lost.Runs, loss.Run{Task: r.task, Before: r.job.LossesOf(r.task), Seen: w.answeredFor(r), Adopted: r.adopted})
+		lost.Runs = append(lost.Runs, loss.Run{Task: r.task, LossesBefore: r.job.LossesOf(r.task), SeenAfterStart: w.answeredFor(r), Adopted: r.adopted})
 	}
 	return lost
 }
 
-// apartMost limits the jobs that are remembered as lost together with one.
-const apartMost = 32
+// maxLostTogether limits the jobs that are remembered as lost together with one.
+const maxLostTogether = 32
 
 // recordLostTogether records which jobs were lost together.
 func (h *shard) recordLostTogether(runs []loss.Run) {
@@ -146,7 +146,7 @@
 		j := h.jobs[runs[i].Task.Job]
 		for k := range runs {
 			other := runs[k].Task.Job
-			if j == nil || other == runs[i].Task.Job || len(j.apart) >= apartMost {
+			if j == nil || other == runs[i].Task.Job || len(j.apart) >= maxLostTogether {
 				continue
 			}
 			if j.apart == nil {
@@ -161,19 +161,19 @@
 // that it was placed on is known to have answered.
 func (w *workerState) answeredFor(r *run) time.Duration {
 	answered := w.clockAt
-	if w.life.Follows(r.life) {
+	if w.incarnation.IsLaterThan(r.incarnation) {
 		answered = time.Time{}
-		if w.previous.incarnation.Is(r.life) {
+		if w.previous.incarnation.Matches(r.incarnation) {
 			answered = w.previous.answeredAt
 		}
 	}
 	switch {
 	case r.adopted:
 		return max(answered.Sub(r.placed), 0)
-	case r.ordered.IsZero():
+	case r.startSent.IsZero():
 		return 0
 	}
-	return max(answered.Sub(r.ordered), 0)
+	return max(answered.Sub(r.startSent), 0)
 }
 
 // lastSeen returns when a worker surely lived last.
@@ -199,8 +199,8 @@
 func newestStart(runs []*run) time.Time {
 	var newest time.Time
 	for _, r := range runs {
-		if r.ordered.After(newest) {
-			newest = r.ordered
+		if r.startSent.After(newest) {
+			newest = r.startSent
 		}
 	}
 	return newest
--- a/internal/scheduler/loss_test.go
+++ b/internal/scheduler/loss_test.go
@@ -19,14 +19,14 @@
 		heard bool
 	}{
 		{"no error", nil, true},
-		{"a refusal of its own", fleet.NoRoom, true},
-		{"another life", fleet.OtherLife, false},
+		{"a refusal of its own", fleet.NoCapacity, true},
+		{"another life", fleet.OtherIncarnation, false},
 	} {
-		h, w := keptShard(), workerOf(&fleet.Worker{})
-		h.answered(w, w.mark(), 7, nil, "start")
+		h, w := offlineShard(), workerOf(&fleet.Worker{})
+		h.recordAnswer(w, w.sendState(), 7, nil, "start")
 		w.clockAt = w.clockAt.Add(-4 * time.Second)
 		before := w.clockAt
-		h.answered(w, w.mark(), 9, c.err, "start")
+		h.recordAnswer(w, w.sendState(), 9, c.err, "start")
 		quicktest.Check(t, w.clockAt.After(before), quicktest.Equals, c.heard, quicktest.Commentf(c.name))
 	}
 }
@@ -48,7 +48,7 @@
 		fail()
 		quicktest.Check(t, time.Since(first), quicktest.Equals, time.Second)
 		quicktest.Check(t, w.missedAt, quicktest.Equals, first)
-		w.heard(7)
+		w.recordClock(7)
 		w.failures = 0
 		fail()
 		quicktest.Check(t, w.missedAt, quicktest.Equals, first, quicktest.Commentf("a single answer may be lost"))
--- a/internal/scheduler/stray_test.go
+++ b/internal/scheduler/orphan_test.go
@@ -15,7 +15,7 @@
 // for as long as it ran. Its members were neither restarted nor stopped on a leaving worker.
 func TestOrphanedRunIsNotInItsGang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, lost := silentShard()
+		h, lost := shardWithRun()
 		other := workerOf(&fleet.Worker{ID: "v", Capacity: job.Resources{Accelerators: 8}})
 		other.listed = true
 		h.workers["v"] = other
@@ -26,18 +26,18 @@
 		}
 		first, second := job.Task{Job: "g"}, job.Task{Job: "g", Index: 1}
 		place(map[int]string{0: "w", 1: "v"})
-		h.loseRuns(lost, leasesOver)
+		h.loseRuns(lost, leasesExpired)
 		h.endRun(other, other.runs[second], job.Stopped, "")
 		place(map[int]string{0: "v", 1: "v"})
-		h.takeReport(lost, &fleet.Report{Life: lost.life, Clock: 2, Running: []fleet.Run{{Task: first, Run: 1, Done: 0.5}}}, lost.mark(), 0)
-		quicktest.Check(t, lost.runs[first].held.stopping, quicktest.IsTrue)
+		h.applyReport(lost, &fleet.Report{Incarnation: lost.incarnation, Clock: 2, Running: []fleet.Run{{Task: first, Run: 1, Done: 0.5}}}, lost.sendState(), 0)
+		quicktest.Check(t, lost.runs[first].allocation.stopping, quicktest.IsTrue)
 		for _, member := range []job.Task{first, second} {
 			r := other.runs[member]
 			quicktest.Check(t, r.number, quicktest.Equals, 2)
-			quicktest.Check(t, r.held.stopping, quicktest.IsFalse)
-			quicktest.Check(t, r.held.runs, quicktest.HasLen, 2)
+			quicktest.Check(t, r.allocation.stopping, quicktest.IsFalse)
+			quicktest.Check(t, r.allocation.runs, quicktest.HasLen, 2)
 		}
-		h.takeReport(lost, &fleet.Report{Life: lost.life, Clock: 3, Ended: []fleet.End{{Number: 1, Task: first, Run: 1, Outcome: job.Stopped}}}, lost.mark(), 0)
-		quicktest.Check(t, other.runs[first].held.runs, quicktest.HasLen, 2)
+		h.applyReport(lost, &fleet.Report{Incarnation: lost.incarnation, Clock: 3, Ended: []fleet.End{{Number: 1, Task: first, Run: 1, Outcome: job.Stopped}}}, lost.sendState(), 0)
+		quicktest.Check(t, other.runs[first].allocation.runs, quicktest.HasLen, 2)
 	})
 }
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 	"github.com/pulleyring/pulleyring/internal/placement"
 	"go.uber.org/zap"
 )
@@ -45,35 +45,35 @@
 
 // decide makes a placement decision and applies it: it stops preempted work, keeps reservations and places what starts.
 func (h *shard) decide() {
-	h.changed = false
+	h.decisionDue = false
 	now := time.Now()
 	h.lastDecision = now
-	view := h.takeView(now)
-	h.Figures.Took("scheduler_view", time.Since(now))
+	view := h.updateView(now)
+	h.Figures.ObserveDuration("scheduler_view", time.Since(now))
 	if len(view.Demands) == 0 {
 		return
 	}
 	out := placement.Decide(view)
-	h.Figures.Took("scheduler_pass", time.Since(now))
+	h.Figures.ObserveDuration("scheduler_pass", time.Since(now))
 	for _, i := range out.Stops {
-		for _, r := range h.holdings.list[i].runs {
+		for _, r := range h.allocations.list[i].runs {
 			h.stop(r.worker, r, "room for urgent work")
 		}
 	}
-	for _, i := range out.Dropped {
+	for _, i := range out.DroppedReservations {
 		delete(h.reservations, groupKey{view.Demands[i].Job, view.Demands[i].Group})
 	}
-	for _, c := range out.Claims {
+	for _, c := range out.Reservations {
 		d := &view.Demands[c.Demand]
 		kept := h.Bounds.StopTime + reservationSlack
-		if c.Draining {
+		if c.WithoutPreemption {
 			kept = maxReservationWait
 		}
-		h.reservations[groupKey{d.Job, d.Group}] = reservation{c.Workers, now.Add(kept), c.Draining}
+		h.reservations[groupKey{d.Job, d.Group}] = reservation{c.Workers, now.Add(kept), c.WithoutPreemption}
 		h.Log.Info("scheduler: reserving capacity", zap.String("job", string(d.Job)), zap.String("workspace", d.Workspace),
-			zap.Duration("waited", now.Sub(d.Since)), zap.Int("stops", len(out.Stops)), zap.Bool("draining", c.Draining))
+			zap.Duration("waited", now.Sub(d.ReadySince)), zap.Int("stops", len(out.Stops)), zap.Bool("draining", c.WithoutPreemption))
 	}
-	for _, i := range out.NoPlans {
+	for _, i := range out.WithoutPlan {
 		d := &view.Demands[i]
 		h.noPlanUntil[groupKey{d.Job, d.Group}] = now.Add(planRetryDelay)
 	}
@@ -96,16 +96,16 @@
 	for i := range view.Demands {
 		d := &view.Demands[i]
 		key := groupKey{d.Job, d.Group}
-		if started[i] || now.Sub(d.Since) < waitLogInterval || now.Sub(h.waitLoggedAt[key]) < waitLogInterval {
+		if started[i] || now.Sub(d.ReadySince) < waitLogInterval || now.Sub(h.waitLoggedAt[key]) < waitLogInterval {
 			continue
 		}
 		h.waitLoggedAt[key] = now
 		w := placement.Explain(view, i)
 		h.Log.Info("scheduler: waiting", zap.String("job", string(d.Job)), zap.Int("occurrence", d.Group.Occurrence),
-			zap.Int("step", d.Group.Step), zap.Duration("waited", now.Sub(d.Since)), zap.Duration("to_goal", d.Goal.Sub(now)),
-			zap.Int("tasks", w.Need), zap.Int("suitable_workers", w.Suitable), zap.Int("closed_workers", w.Closed), zap.Int("fit_now", w.Now),
-			zap.Int("fit_in_rack", w.Rack), zap.Int("fit_in_empty_rack", w.Empty), zap.Bool("draining", d.Draining),
-			zap.Bool("claimed", d.Claim != nil))
+			zap.Int("step", d.Group.Step), zap.Duration("waited", now.Sub(d.ReadySince)), zap.Duration("to_goal", d.Goal.Sub(now)),
+			zap.Int("tasks", w.WaitingTasks), zap.Int("suitable_workers", w.SuitableWorkers), zap.Int("closed_workers", w.ClosedWorkers), zap.Int("fit_now", w.FitNow),
+			zap.Int("fit_in_rack", w.FitInRack), zap.Int("fit_in_empty_rack", w.FitInEmptyRack), zap.Bool("draining", d.ReservedWithoutPreemption),
+			zap.Bool("claimed", d.Reservation != nil))
 	}
 }
 
@@ -115,12 +115,12 @@
 	delete(h.reservations, groupKey{d.Job, d.Group})
 	delete(h.noPlanUntil, groupKey{d.Job, d.Group})
 	delete(h.waitLoggedAt, groupKey{d.Job, d.Group})
-	incarnations := map[int]life.ID{}
+	incarnations := map[int]incarnation.ID{}
 	for i, name := range workers {
-		incarnations[i] = h.workers[name].life
+		incarnations[i] = h.workers[name].incarnation
 	}
 	commands := j.Place(d.Group, incarnations)
-	h.Figures.Took("scheduler_waited", now.Sub(d.Since))
+	h.Figures.ObserveDuration("scheduler_waited", now.Sub(d.ReadySince))
 	h.Figures.Add("runs_placed", int64(len(commands)))
 	racks := map[string]bool{}
 	for _, o := range commands {
@@ -130,19 +130,19 @@
 	for _, o := range commands {
 		w := h.workers[o.Worker.Worker]
 		r := &run{
-			life: o.Worker, task: o.Task, number: o.Run, saved: o.Saved, each: d.Step.Each, job: j, placed: now,
-			far: isRemote(d.Step, racks, w.Rack),
+			incarnation: o.Worker, task: o.Task, number: o.Run, saved: o.Saved, each: d.Step.Each, job: j, placed: now,
+			remote: isRemote(d.Step, racks, w.Rack),
 		}
-		if r.far {
+		if r.remote {
 			remote++
 		}
 		h.addRun(w, r)
 		h.pendingStarts = append(h.pendingStarts, r)
 	}
-	h.touch(d.Job)
+	h.markDirty(d.Job)
 	h.Log.Info("scheduler: placed", zap.String("job", string(d.Job)), zap.Int("occurrence", d.Group.Occurrence),
 		zap.Int("step", d.Group.Step), zap.Int("tasks", len(commands)), zap.Int("waiting", len(d.Waiting)),
-		zap.Duration("waited", now.Sub(d.Since)), zap.Duration("to_goal", d.Goal.Sub(now)), zap.Bool("covered", d.Covered),
+		zap.Duration("waited", now.Sub(d.ReadySince)), zap.Duration("to_goal", d.Goal.Sub(now)), zap.Bool("covered", d.Guaranteed),
 		zap.Int("far", remote), zap.Strings("racks", slices.Sorted(maps.Keys(racks))))
 }
 
--- a/internal/scheduler/owed.go
+++ b/internal/scheduler/pending_stops.go
@@ -9,8 +9,8 @@
 // is in flight.
 const pendingStopRetention = time.Minute
 
-// owedStops is what may still start on a worker that was declared lost.
-type owedStops struct {
+// pendingStops is what may still start on a worker that was declared lost.
+type pendingStops struct {
 	stops      map[*run]bool      // Runs whose stops the worker must accept before its leases are renewed.
 	openStarts map[*run]openStart // Runs whose stops a later incarnation must accept.
 }
@@ -19,38 +19,40 @@
 // start may still be executed. Renewing the lease would let it start, so no lease is renewed until the worker
 // has accepted the stop.
 func (h *shard) addPendingStop(w *workerState, r *run) {
-	if r.ordered.IsZero() || !r.confirmed.IsZero() || !r.stopKnown.IsZero() {
+	if r.startSent.IsZero() || !r.confirmed.IsZero() || !r.stopAccepted.IsZero() {
 		return
 	}
-	if w.owed == nil {
-		w.owed = map[*run]bool{}
+	if w.pendingStops == nil {
+		w.pendingStops = map[*run]bool{}
 	}
-	w.owed[r] = true
+	w.pendingStops[r] = true
 	if !r.stopping {
-		h.ordering.Go(func() { h.sendStop(w, r) })
+		h.background.Go(func() { h.sendStop(w, r) })
 	}
 }
 
 // keepPendingStops keeps the pending stops of a worker that is declared lost, as it may return.
 func (h *shard) keepPendingStops(w *workerState, cause lossCause) {
-	maps.DeleteFunc(h.owed, func(_ string, o owedStops) bool {
-		maps.DeleteFunc(o.stops, func(r *run, _ bool) bool { return time.Since(r.ordered) > pendingStopRetention })
+	maps.DeleteFunc(h.pendingStops, func(_ string, o pendingStops) bool {
+		maps.DeleteFunc(o.stops, func(r *run, _ bool) bool { return time.Since(r.startSent) > pendingStopRetention })
 		maps.DeleteFunc(o.openStarts, func(_ *run, o openStart) bool { return time.Since(o.sent) > openStartRetention })
 		return len(o.stops)+len(o.openStarts) == 0
 	})
-	if len(w.owed)+len(w.openStarts) > 0 && !cause.proves() {
-		h.owed[w.ID] = owedStops{w.owed, w.openStarts}
+	if len(w.pendingStops)+len(w.openStarts) > 0 && !cause.proves() {
+		h.pendingStops[w.ID] = pendingStops{w.pendingStops, w.openStarts}
 	}
 }
 
 // restorePendingStops restores the pending stops of a worker that has returned.
 func (h *shard) restorePendingStops(w *workerState) {
-	w.owed, w.openStarts = h.owed[w.ID].stops, h.owed[w.ID].openStarts
-	delete(h.owed, w.ID)
-	for r := range w.owed {
-		h.ordering.Go(func() { h.sendStop(w, r) })
+	w.pendingStops, w.openStarts = h.pendingStops[w.ID].stops, h.pendingStops[w.ID].openStarts
+	delete(h.pendingStops, w.ID)
+	for r := range w.pendingStops {
+		h.background.Go(func() { h.sendStop(w, r) })
 	}
 }
 
 // isStopWanted reports whether a run's stop still has to be sent to the worker.
-func (w *workerState) isStopWanted(r *run) bool { return !w.gone && (w.runs[r.task] == r || w.owed[r]) }
+func (w *workerState) isStopWanted(r *run) bool {
+	return !w.declaredLost && (w.runs[r.task] == r || w.pendingStops[r])
+}
--- a/internal/scheduler/sight.go
+++ b/internal/scheduler/presumed.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 )
@@ -29,7 +29,7 @@
 // observedState returns the worker's state as last observed.
 func (w *workerState) observedState(now time.Time) *observedState {
 	b := &observedState{
-		AnsweredAgo: -1, AliveAgo: -1, LeaseLeft: w.leases.over.Sub(now), LeaseOwn: w.leases.own,
+		AnsweredAgo: -1, AliveAgo: -1, LeaseLeft: w.leases.endedBy.Sub(now), LeaseOwn: w.leases.ownTerm,
 		Listed: w.listed, Draining: w.Draining, ConnectionClosed: w.connectionClosed, Failures: w.failures,
 	}
 	if !w.clockAt.IsZero() {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// beliefOf returns the log field with a worker's state as last observed.
-func (h *shard) beliefOf(w *workerState) zap.Field {
+// observedStateField returns the log field with a worker's state as last observed.
+func (h *shard) observedStateField(w *workerState) zap.Field {
 	return zap.Object("belief", w.observedState(time.Now()))
 }
 
@@ -73,11 +73,11 @@
 type runKey struct {
 	task        job.Task
 	number      int
-	incarnation life.ID
+	incarnation incarnation.ID
 }
 
-// givenUp records that a worker's runs were presumed ended, without a report of the worker.
-type givenUp struct {
+// presumedLosses records that a worker's runs were presumed ended, without a report of the worker.
+type presumedLoss struct {
 	at       time.Time
 	cause    lossCause
 	runs     int
@@ -94,14 +94,14 @@
 )
 
 // recordPresumedEnded records that runs on an incarnation of a worker were presumed ended.
-func (h *shard) recordPresumedEnded(l life.ID, runs []*run, cause lossCause) {
+func (h *shard) recordPresumedEnded(l incarnation.ID, runs []*run, cause lossCause) {
 	if len(runs) == 0 {
 		return
 	}
 	now := time.Now()
-	maps.DeleteFunc(h.givenUp, func(_ life.ID, g *givenUp) bool { return now.Sub(g.at) > presumedLossRetention })
-	if len(h.givenUp) < presumedLossLimit {
-		h.givenUp[l] = &givenUp{at: now, cause: cause, runs: len(runs)}
+	maps.DeleteFunc(h.presumedLosses, func(_ incarnation.ID, g *presumedLoss) bool { return now.Sub(g.at) > presumedLossRetention })
+	if len(h.presumedLosses) < presumedLossLimit {
+		h.presumedLosses[l] = &presumedLoss{at: now, cause: cause, runs: len(runs)}
 	}
 	for _, r := range runs {
 		r.job.recordPresumedEnded(l, r, now)
@@ -110,33 +110,33 @@
 
 // recordPresumedEnded records that a run was presumed ended, except for lasting tasks, which are restarted
 // however they end.
-func (j *liveJob) recordPresumedEnded(l life.ID, r *run, now time.Time) {
-	if j.Request.Steps[r.task.Step].Lasting || len(j.givenUp) >= presumedLossLimit {
+func (j *trackedJob) recordPresumedEnded(l incarnation.ID, r *run, now time.Time) {
+	if j.Request.Steps[r.task.Step].Lasting || len(j.presumedEnded) >= presumedLossLimit {
 		return
 	}
-	if j.givenUp == nil {
-		j.givenUp = map[runKey]time.Time{}
+	if j.presumedEnded == nil {
+		j.presumedEnded = map[runKey]time.Time{}
 	}
-	j.givenUp[runKey{r.task, r.number, l}] = now
+	j.presumedEnded[runKey{r.task, r.number, l}] = now
 }
 
 // logReturnByReport logs the first report of a worker whose runs were presumed ended.
 func (h *shard) logReturnByReport(w *workerState, report *fleet.Report) {
-	g := h.givenUp[w.life]
+	g := h.presumedLosses[w.incarnation]
 	if g == nil || g.reported {
 		return
 	}
 	first := !g.recorded
 	g.reported = true
-	h.logReturn(w.life, g, first, zap.String("by", "report"), zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)),
+	h.logReturn(w.incarnation, g, first, zap.String("by", "report"), zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)),
 		zap.Strings("has", runNames(report)))
 }
 
 // logReturnByRecord logs the first record of a worker whose runs were presumed ended. Written means that the
 // worker has just written it; otherwise it may be an old one.
-func (h *shard) logReturnByRecord(l life.ID, written bool) {
-	g := h.givenUp[l]
-	if g == nil || g.recorded || g.cause == leasesOver && !written {
+func (h *shard) logReturnByRecord(l incarnation.ID, written bool) {
+	g := h.presumedLosses[l]
+	if g == nil || g.recorded || g.cause == leasesExpired && !written {
 		return
 	}
 	if g.cause.proves() && (!written || time.Since(g.at) < heartbeatDelay) {
@@ -147,7 +147,7 @@
 	h.logReturn(l, g, first, zap.String("by", "record"))
 }
 
-func (h *shard) logReturn(l life.ID, g *givenUp, first bool, fields ...zap.Field) {
+func (h *shard) logReturn(l incarnation.ID, g *presumedLoss, first bool, fields ...zap.Field) {
 	if first {
 		h.Figures.Count("workers_back")
 	}
@@ -191,32 +191,32 @@
 	return [...]string{"unknown_job", "unknown_task", "given_up", "known", "other_run"}[u]
 }
 
-// unfollowedEnd is the reported end of a run that is not tracked, for logs.
+// untrackedEnd is the reported end of a run that is not tracked, for logs.
 type untrackedEnd struct {
 	*fleet.End
 	Worker       *workerState
-	Incarnation  life.ID // The incarnation that reported it.
+	Incarnation  incarnation.ID // The incarnation that reported it.
 	Why          untrackedReason
 	TaskBefore   job.TaskProgress // The task's progress before.
-	PresumedLoss *givenUp         // Set if the worker's runs were presumed ended before.
+	PresumedLoss *presumedLoss    // Set if the worker's runs were presumed ended before.
 	Counts       bool             // It changed the job's progress.
 }
 
-func (h *shard) unfollowedEnd(w *workerState, l life.ID, e *fleet.End) *untrackedEnd {
-	u := &untrackedEnd{End: e, Worker: w, Incarnation: l, PresumedLoss: h.givenUp[l]}
+func (h *shard) untrackedEnd(w *workerState, l incarnation.ID, e *fleet.End) *untrackedEnd {
+	u := &untrackedEnd{End: e, Worker: w, Incarnation: l, PresumedLoss: h.presumedLosses[l]}
 	j := h.jobs[e.Task.Job]
 	if j == nil {
 		return u
 	}
 	known := false
 	u.TaskBefore, known = j.Task(e.Task)
-	_, lost := j.givenUp[runKey{e.Task, e.Run, l}]
+	_, lost := j.presumedEnded[runKey{e.Task, e.Run, l}]
 	switch {
 	case !known:
 		u.Why = unknownTask
 	case lost:
 		u.Why = runPresumedEnded
-	case u.TaskBefore.Run == e.Run && u.TaskBefore.Worker.Is(l):
+	case u.TaskBefore.Run == e.Run && u.TaskBefore.Worker.Matches(l):
 		u.Why = runEndKnown
 	default:
 		u.Why = otherRun
@@ -224,8 +224,8 @@
 	return u
 }
 
-// noteUnfollowed logs and counts the end of a run that is not tracked.
-func (h *shard) noteUnfollowed(u *untrackedEnd) {
+// logUntrackedEnd logs and counts the end of a run that is not tracked.
+func (h *shard) logUntrackedEnd(u *untrackedEnd) {
 	h.Figures.Count("ends_unfollowed_" + u.Why.metricName())
 	if u.Counts {
 		h.Figures.Count("ends_unfollowed_counted")
@@ -233,7 +233,7 @@
 	fields := []zap.Field{
 		zap.String("task", u.Task.String()), zap.Int("run", u.Run), zap.Stringer("outcome", u.Outcome), zap.Bool("counts", u.Counts),
 		zap.Int64("number", u.Number), zap.Inline(u.Incarnation), zap.Stringer("why", u.Why), zap.Int64("last_taken", u.Worker.applied),
-		zap.Int64("told", u.Worker.told), zap.Bool("gone", u.Worker.gone),
+		zap.Int64("told", u.Worker.forgotten), zap.Bool("gone", u.Worker.declaredLost),
 		zap.Stringer("task_state", u.TaskBefore.State), zap.Int("task_run", u.TaskBefore.Run), zap.Stringer("task_worker", u.TaskBefore.Worker),
 	}
 	if u.PresumedLoss != nil {
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -34,51 +34,51 @@
 // progress holds how much of a run's work is done, as reported by its worker. Times are those of the reports.
 type progress struct {
 	share       float64   // Part of the work that is done, 0 to 1.
-	at          time.Time // Time of the last report.
-	moved       time.Time // When the share last grew.
+	reportedAt  time.Time // Time of the last report.
+	grewAt      time.Time // When the share last grew.
 	rate        float64   // Share per second in the last window; 0 before the first window has ended.
-	best        float64   // The highest rate so far.
+	bestRate    float64   // The highest rate so far.
 	windowShare float64   // Share at the start of the window.
 	windowStart time.Time // Start of the window.
 }
 
-// note records the share that a poll found.
-func (p *progress) note(share float64, now time.Time) {
-	if p.at.IsZero() {
-		p.moved, p.windowShare, p.windowStart = now, share, now
+// update records the share that a poll found.
+func (p *progress) update(share float64, now time.Time) {
+	if p.reportedAt.IsZero() {
+		p.grewAt, p.windowShare, p.windowStart = now, share, now
 	}
 	if share > p.share {
-		p.moved = now
+		p.grewAt = now
 	}
 	window := now.Sub(p.windowStart)
 	if window >= minRateWindow && (share-p.windowShare >= minRateShare || window >= maxRateWindow) {
 		p.rate = max(0, share-p.windowShare) / window.Seconds()
-		p.best = max(p.best, p.rate)
+		p.bestRate = max(p.bestRate, p.rate)
 		p.windowShare, p.windowStart = share, now
 	}
-	p.share, p.at = share, now
+	p.share, p.reportedAt = share, now
 }
 
-// end returns when the run ends at the current rate, and until when that prediction is valid. Both are zero if the
+// predictedEnd returns when the run ends at the current rate, and until when that prediction is valid. Both are zero if the
 // rate is unknown.
-func (p *progress) end() (ends, knownUntil time.Time) {
+func (p *progress) predictedEnd() (ends, knownUntil time.Time) {
 	if p.rate <= 0 {
 		return time.Time{}, time.Time{}
 	}
-	return p.at.Add(seconds((1 - p.share) / p.rate)), p.at.Add(progressMaxAge)
+	return p.reportedAt.Add(seconds((1 - p.share) / p.rate)), p.reportedAt.Add(progressMaxAge)
 }
 
 // stalledFor returns for how long a run has made no progress although it should have, or 0 if it is not stalled. total
 // is the expected run time of the whole task.
 func (p *progress) stalledFor(total time.Duration) time.Duration {
-	if p.at.IsZero() || p.share >= 1 {
+	if p.reportedAt.IsZero() || p.share >= 1 {
 		return 0
 	}
-	expected := p.best
+	expected := p.bestRate
 	if expected == 0 {
 		expected = 1 / max(total.Seconds(), 1e-3)
 	}
-	unchanged := p.at.Sub(p.moved)
+	unchanged := p.reportedAt.Sub(p.grewAt)
 	if unchanged < minStallObserved || unchanged.Seconds()*expected < stallShare {
 		return 0
 	}
@@ -87,10 +87,10 @@
 
 // slowdown returns how many times slower than its best rate a run is now, or 1 if that is unknown.
 func (p *progress) slowdown() float64 {
-	if p.rate <= 0 || p.best <= 0 {
+	if p.rate <= 0 || p.bestRate <= 0 {
 		return 1
 	}
-	return p.best / p.rate
+	return p.bestRate / p.rate
 }
 
 // stalledFor returns for how long a run has been stalled, or 0 if it is not.
@@ -98,12 +98,12 @@
 	if r.confirmed.IsZero() || r.stopping || r.job.Request.Steps[r.task.Step].Lasting {
 		return 0
 	}
-	return r.progress.stalledFor(time.Duration(h.Bounds.Policy.FarFactor * float64(h.learned.task(r.job.Request, r.task.Step))))
+	return r.progress.stalledFor(time.Duration(h.Bounds.Policy.RemoteFactor * float64(h.estimates.taskTime(r.job.Request, r.task.Step))))
 }
 
-// stalls reports whether a single task is stalled on a worker, so that nothing new should start there. Gangs don't
+// hasStalledTask reports whether a single task is stalled on a worker, so that nothing new should start there. Gangs don't
 // count: a member may be waiting for a member on another worker.
-func (h *shard) stalls(w *workerState) bool {
+func (h *shard) hasStalledTask(w *workerState) bool {
 	for _, r := range w.runs {
 		if !r.job.Request.Steps[r.task.Step].Gang && h.stalledFor(r) > 0 {
 			return true
@@ -112,8 +112,8 @@
 	return false
 }
 
-// endStalls stops runs on a worker that have been stalled for longer than a restart would cost.
-func (h *shard) endStalls(w *workerState, now time.Time) {
+// stopStalledRuns stops runs on a worker that have been stalled for longer than a restart would cost.
+func (h *shard) stopStalledRuns(w *workerState, now time.Time) {
 	for _, r := range w.runs {
 		step := &r.job.Request.Steps[r.task.Step]
 		stalled := h.stalledFor(r)
@@ -121,16 +121,16 @@
 			continue
 		}
 		h.Figures.Count("runs_stalled")
-		h.Log.Info("scheduler: a run is stalled; stopping it", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(w.life),
+		h.Log.Info("scheduler: a run is stalled; stopping it", zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(w.incarnation),
 			zap.Float64("done", r.progress.share), zap.Duration("for", stalled), zap.Duration("age", now.Sub(r.placed)), zap.Bool("gang", step.Gang))
 		h.stop(w, r, "it makes no progress")
 		if !step.Gang {
-			w.doubt.add(stallFailureScore, now)
+			w.failureScore.add(stallFailureScore, now)
 			continue
 		}
-		w.doubt.add(gangStallFailureScore, now)
+		w.failureScore.add(gangStallFailureScore, now)
 		h.forEachOtherMember(r, func(other *workerState, m *run) {
-			other.doubt.add(gangStallFailureScore, now)
+			other.failureScore.add(gangStallFailureScore, now)
 			h.stop(other, m, "another member makes no progress")
 		})
 	}
@@ -154,23 +154,23 @@
 // tasks take.
 const learnShare = 0.1
 
-// learnEarly estimates a step's run time from the progress of a run, once per run. Runs that are slower because of
+// learnFromProgress estimates a step's run time from the progress of a run, once per run. Runs that are slower because of
 // where they run are left out, as they say nothing about others.
-func (h *shard) learnEarly(r *run) {
+func (h *shard) learnFromProgress(r *run) {
 	step := &r.job.Request.Steps[r.task.Step]
-	if r.learned || r.far || r.adopted || step.Lasting || r.progress.rate <= 0 || r.progress.share < learnShare {
+	if r.usedForEstimate || r.remote || r.adopted || step.Lasting || r.progress.rate <= 0 || r.progress.share < learnShare {
 		return
 	}
-	r.learned = true
-	h.learned.ran(r.job.Request, r.task.Step, time.Duration(float64(time.Second)/r.progress.rate))
+	r.usedForEstimate = true
+	h.estimates.addRun(r.job.Request, r.task.Step, time.Duration(float64(time.Second)/r.progress.rate))
 }
 
 // expectedEnd returns when a run should end, and until when that prediction is valid. The latter is zero if the end
 // does not follow from the reported progress but from the estimated run time.
 func (h *shard) expectedEnd(r *run) (ends, knownUntil time.Time) {
-	ends, knownUntil = r.progress.end()
+	ends, knownUntil = r.progress.predictedEnd()
 	if knownUntil.IsZero() {
-		ends = r.placed.Add(h.learned.task(r.job.Request, r.task.Step))
+		ends = r.placed.Add(h.estimates.taskTime(r.job.Request, r.task.Step))
 	}
 	return ends, knownUntil
 }
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -13,7 +13,7 @@
 	now := time.Unix(1000, 0)
 	for i, share := range shares {
 		last = now.Add(time.Duration(i) * 500 * time.Millisecond)
-		p.note(share, last)
+		p.update(share, last)
 	}
 	return p, last
 }
@@ -21,10 +21,10 @@
 // TestPredictedEnd fails if the end of a run is not predicted from its current rate.
 func TestPredictedEnd(t *testing.T) {
 	p, now := progressOf(0.1, 0.2, 0.3, 0.4, 0.5) // 0.2 per second.
-	ends, knownUntil := p.end()
+	ends, knownUntil := p.predictedEnd()
 	quicktest.Assert(t, ends.Sub(now).Round(10*time.Millisecond), quicktest.Equals, 2500*time.Millisecond)
 	quicktest.Assert(t, knownUntil, quicktest.Equals, now.Add(progressMaxAge))
-	_, knownUntil = (&progress{}).end()
+	_, knownUntil = (&progress{}).predictedEnd()
 	quicktest.Assert(t, knownUntil.IsZero(), quicktest.IsTrue)
 }
 
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -10,51 +10,51 @@
 	"go.uber.org/zap"
 )
 
-// takeReport applies a worker's report and reports whether it brought ends that are not committed yet.
-func (h *shard) takeReport(w *workerState, report *fleet.Report, m sentMark, acknowledged int64) bool {
+// applyReport applies a worker's report and reports whether it brought ends that are not committed yet.
+func (h *shard) applyReport(w *workerState, report *fleet.Report, m sendState, acknowledged int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.trackReporter(w, report, m) {
-		h.takeFormerEnds(w, report)
+		h.applyFormerEnds(w, report)
 		return false
 	}
 	h.logReturnByReport(w, report)
-	if !w.isOld(m) {
-		w.told = max(w.told, acknowledged)
+	if !w.isOutdated(m) {
+		w.forgotten = max(w.forgotten, acknowledged)
 	}
-	if w.gone || report.Clock < w.reportClock {
+	if w.declaredLost || report.Clock < w.reportClock {
 		h.recordOutdated(w, report)
 		// The rest is outdated: the worker was declared lost while the report was in flight, or a newer one has
 		// overtaken it.
-		h.takeEnds(w, report)
-		return !w.gone && w.applied > w.acknowledged
+		h.applyEnds(w, report)
+		return !w.declaredLost && w.applied > w.acknowledged
 	}
 	if w.failures > 0 || w.clock == 0 {
-		w.backAt, h.changed = time.Now(), true
+		w.backAt, h.decisionDue = time.Now(), true
 		w.signal()
 		h.signal()
 	}
-	w.heard(report.Clock)
-	h.tookOrder(w)
+	w.recordClock(report.Clock)
+	h.recordFirstCommand(w)
 	w.reportClock, w.passedOver = report.Clock, outdatedReports{}
-	w.failures, w.lookedAt = 0, time.Now()
-	h.charge(h.losses.Returned(w.life))
+	w.failures, w.polledAt = 0, time.Now()
+	h.applyCharges(h.lossDetector.Returned(w.incarnation))
 	listed := listedRuns(report)
 	if !report.More {
 		h.endEarlierRuns(w, listed, m)
 	}
 	for i := range report.Running {
-		h.seen(w, &report.Running[i])
+		h.recordRunning(w, &report.Running[i])
 	}
-	h.takeEnds(w, report)
+	h.applyEnds(w, report)
 	if !report.More {
 		h.endAbsent(w, listed, m.at)
 	}
 	now := time.Now()
-	h.endStalls(w, now)
+	h.stopStalledRuns(w, now)
 	h.handleSlowMembers(w, now)
 	h.restartLostWork(w, now)
-	w.stalled, w.overdue = h.stalls(w), h.overdue(w, now)
+	w.stalled, w.overdue = h.hasStalledTask(w), h.runSlowdown(w, now)
 	h.signal()
 	return w.applied > w.acknowledged
 }
@@ -82,9 +82,9 @@
 		return
 	}
 	p.logged = now
-	h.Log.Warn("scheduler: reports of a worker are outdated; applying only the ends in them", zap.Inline(w.life), zap.Int("reports", p.count), zap.Duration("since", now.Sub(p.since)),
-		zap.Int64("clock", report.Clock), zap.Int64("newest_clock", w.reportClock), zap.Bool("gone", w.gone), zap.Int("followed", len(w.runs)),
-		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)), zap.Int64("last_taken", w.applied), zap.Strings("has", runNames(report)), h.beliefOf(w))
+	h.Log.Warn("scheduler: reports of a worker are outdated; applying only the ends in them", zap.Inline(w.incarnation), zap.Int("reports", p.count), zap.Duration("since", now.Sub(p.since)),
+		zap.Int64("clock", report.Clock), zap.Int64("newest_clock", w.reportClock), zap.Bool("gone", w.declaredLost), zap.Int("followed", len(w.runs)),
+		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)), zap.Int64("last_taken", w.applied), zap.Strings("has", runNames(report)), h.observedStateField(w))
 }
 
 // listedRuns returns the newest run of each task that a report lists, running or ended.
@@ -100,8 +100,8 @@
 	return runs
 }
 
-// seen records that a worker reports a run as running.
-func (h *shard) seen(w *workerState, x *fleet.Run) {
+// recordRunning records that a worker reports a run as running.
+func (h *shard) recordRunning(w *workerState, x *fleet.Run) {
 	r := w.runs[x.Task]
 	if r == nil || r.number != x.Run {
 		h.stopOrphan(w, x)
@@ -111,12 +111,12 @@
 		r.confirmed = time.Now()
 	}
 	if x.Done >= 0 {
-		r.progress.note(x.Done, time.Now())
-		r.held.stale = true
-		h.learnEarly(r)
+		r.progress.update(x.Done, time.Now())
+		r.allocation.stale = true
+		h.learnFromProgress(r)
 	}
 	h.clearImmediateLosses(w, r)
-	r.job.Save(x.Task, x.Run, x.Saved)
+	r.job.RecordSavedState(x.Task, x.Run, x.Saved)
 	if r.job.Progress.State.Final() {
 		h.stop(w, r, "the job has ended")
 	}
@@ -128,9 +128,9 @@
 	if ok && p.State == job.Finished && p.Run == x.Run {
 		return // A gang's member whose end will be listed soon.
 	}
-	r := &run{life: w.life, task: x.Task, number: x.Run, confirmed: time.Now(), placed: time.Now(), job: h.jobs[x.Task.Job], stray: true}
+	r := &run{incarnation: w.incarnation, task: x.Task, number: x.Run, confirmed: time.Now(), placed: time.Now(), job: h.jobs[x.Task.Job], orphaned: true}
 	if !ok || w.runs[x.Task] != nil {
-		h.Log.Warn("scheduler: worker reports an untracked run; stopping it", zap.String("task", x.Task.String()), zap.Int("run", x.Run), zap.Inline(w.life))
+		h.Log.Warn("scheduler: worker reports an untracked run; stopping it", zap.String("task", x.Task.String()), zap.Int("run", x.Run), zap.Inline(w.incarnation))
 		h.stopUntracked(w, x.Task, x.Run)
 		return
 	}
@@ -142,11 +142,11 @@
 
 // stopUntracked sends a stop for a run that is not tracked, without a retry.
 func (h *shard) stopUntracked(w *workerState, t job.Task, number int) {
-	command, target := &fleet.Stop{Task: t, Run: number, Token: h.tenure.Epoch()}, w.target()
-	h.ordering.Go(func() {
+	command, target := &fleet.Stop{Task: t, Run: number, Token: h.leaseTerm.Epoch()}, w.target()
+	h.background.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, answerTimeout)
 		defer cancel()
-		if _, err := h.Orders.Stop(ctx, &target, command); err != nil {
+		if _, err := h.Commands.Stop(ctx, &target, command); err != nil {
 			h.Log.Warn("scheduler: unable to stop an untracked run; waiting for the next report", zap.String("task", t.String()), logsink.Error(err))
 		}
 	})
@@ -154,12 +154,12 @@
 
 // countOrphan changes the number of a task's orphaned runs: not tracked, and either running or possibly about to
 // start.
-func (j *liveJob) countOrphan(t job.Task, change int) {
-	if j.strays == nil {
-		j.strays = map[job.Task]int{}
+func (j *trackedJob) countOrphan(t job.Task, change int) {
+	if j.orphans == nil {
+		j.orphans = map[job.Task]int{}
 	}
-	if j.strays[t] += change; j.strays[t] <= 0 {
-		delete(j.strays, t)
+	if j.orphans[t] += change; j.orphans[t] <= 0 {
+		delete(j.orphans, t)
 	}
 }
 
@@ -179,7 +179,7 @@
 		if present[task] == r.number {
 			continue
 		}
-		stopped := !r.stopKnown.IsZero() && r.stopKnown.Before(sent)
+		stopped := !r.stopAccepted.IsZero() && r.stopAccepted.Before(sent)
 		fenced := r.adopted && r.confirmed.IsZero()
 		lost := !r.confirmed.IsZero() && r.confirmed.Before(sent)
 		if stopped || fenced || lost {
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -29,8 +29,8 @@
 	if w.runs[r.task] != r || r.stopping {
 		return
 	}
-	r.ordering = true
-	h.ordering.Go(func() { h.start(w, r) })
+	r.starting = true
+	h.background.Go(func() { h.start(w, r) })
 }
 
 // start sends the start of a run until it is answered, refused or given up.
@@ -42,12 +42,12 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(h.ctx, h.startTimeout(w, try))
-		clock, err := h.Orders.Start(ctx, &target, command)
+		clock, err := h.Commands.Start(ctx, &target, command)
 		cancel()
 		if h.ctx.Err() != nil {
 			return
 		}
-		h.noteAnswer(err, time.Since(mark.at))
+		h.recordAnswerTime(err, time.Since(mark.at))
 		if h.handleStartAnswer(w, r, mark, clock, err, try) {
 			return
 		}
@@ -55,78 +55,78 @@
 }
 
 // nextStart returns the start command to send, or nil if the run must not start any more.
-func (h *shard) nextStart(w *workerState, r *run, try int) (*fleet.Start, fleet.Worker, sentMark) {
+func (h *shard) nextStart(w *workerState, r *run, try int) (*fleet.Start, fleet.Worker, sendState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if w.runs[r.task] != r || r.stopping {
-		r.ordering = false
-		return nil, fleet.Worker{}, sentMark{}
+		r.starting = false
+		return nil, fleet.Worker{}, sendState{}
 	}
-	if !w.isCertain() || !w.life.Is(r.life) {
+	if !w.isCertain() || !w.incarnation.Matches(r.incarnation) {
 		h.withdraw(w, r, try, "its worker may have started again")
-		return nil, fleet.Worker{}, sentMark{}
+		return nil, fleet.Worker{}, sendState{}
 	}
 	if halls := h.openHalls(); !halls.isOpen(w.Hall, time.Now()) {
 		h.withdraw(w, r, try, "its hall is emptied")
-		return nil, fleet.Worker{}, sentMark{}
+		return nil, fleet.Worker{}, sendState{}
 	}
-	if r.ordered.IsZero() {
-		r.ordered = time.Now()
+	if r.startSent.IsZero() {
+		r.startSent = time.Now()
 	}
 	return &fleet.Start{
-		Order:   job.Order{Task: r.task, Run: r.number, Worker: r.life, Saved: r.saved},
-		Payload: r.job.Request.Payload,
-		Lease:   h.renew(w),
-		Token:   h.tenure.Epoch(),
-	}, w.target(), w.mark()
+		PlacedRun: job.PlacedRun{Task: r.task, Run: r.number, Worker: r.incarnation, Saved: r.saved},
+		Payload:   r.job.Request.Payload,
+		Lease:     h.renew(w),
+		Token:     h.leaseTerm.Epoch(),
+	}, w.target(), w.sendState()
 }
 
 // handleStartAnswer handles the answer to a start and reports whether no further try is needed.
-func (h *shard) handleStartAnswer(w *workerState, r *run, m sentMark, clock int64, err error, try int) bool {
+func (h *shard) handleStartAnswer(w *workerState, r *run, m sendState, clock int64, err error, try int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.answered(w, m, clock, err, "start")
+	h.recordAnswer(w, m, clock, err, "start")
 	if err == nil {
-		if !w.isOld(m) && w.doubted.IsZero() {
-			h.tookOrder(w)
+		if !w.isOutdated(m) && w.uncertainSince.IsZero() {
+			h.recordFirstCommand(w)
 		}
-		r.ordering = false
+		r.starting = false
 		r.confirmed = time.Now()
 		w.signal()
 		return true
 	}
 	h.Log.Info("scheduler: start not taken", zap.String("task", r.task.String()), zap.Int("run", r.number),
-		zap.Inline(r.life), zap.Int("try", try), logsink.Error(err))
+		zap.Inline(r.incarnation), zap.Int("try", try), logsink.Error(err))
 	refusal, refused := refusalOf(err)
 	if !refused && !certainlyNotSent(err) {
-		w.noteOpen(r, m.at)
+		w.recordOpenStart(r, m.at)
 	}
-	neverStarted := try == 1 && (refused && refusal != fleet.Outdated || certainlyNotSent(err))
+	neverStarted := try == 1 && (refused && refusal != fleet.OutdatedRun || certainlyNotSent(err))
 	if neverStarted {
-		r.ordered = time.Time{} // This run can't be the cause of a failure of the worker.
+		r.startSent = time.Time{} // This run can't be the cause of a failure of the worker.
 		if r.lost != nil {
-			h.charge(h.losses.NeverRan(r.life, r.task))
+			h.applyCharges(h.lossDetector.NeverStarted(r.incarnation, r.task))
 		}
 	}
-	h.noteFailure(w, m, err, "start")
+	h.recordFailure(w, m, err, "start")
 	switch {
-	case refused && refusal == fleet.Outdated:
+	case refused && refusal == fleet.OutdatedRun:
 		// The run has already ended there, or its stop arrived first. It can't start any more; the next poll tells
 		// which.
-		r.ordering = false
-		r.stopKnown = time.Now()
+		r.starting = false
+		r.stopAccepted = time.Now()
 		w.signal()
 		return true
 	case neverStarted:
-		r.ordering = false
+		r.starting = false
 		h.endUnstarted(w, r)
 		return true
-	case !refused && try < len(startTimeouts) && !w.Draining && !w.gone:
+	case !refused && try < len(startTimeouts) && !w.Draining && !w.declaredLost:
 		return false
 	}
 	// An earlier try may have started the run, or may still start it.
-	r.ordering = false
-	r.gaveUp = time.Now()
+	r.starting = false
+	r.startAbandonedAt = time.Now()
 	h.stop(w, r, "the start got no answer")
 	h.stopGang(r, "a member's start got no answer")
 	return true
@@ -134,7 +134,7 @@
 
 // certainlyNotSent reports whether a command certainly did not reach the worker.
 func certainlyNotSent(err error) bool {
-	return errors.Is(err, fleet.ErrNotSent) || errors.Is(err, fleet.ErrNotListening)
+	return errors.Is(err, fleet.ErrNotSent) || errors.Is(err, fleet.ErrConnectionRefused)
 }
 
 // endUnstarted ends a run that certainly did not start.
@@ -150,46 +150,46 @@
 	if r.stopping {
 		return
 	}
-	r.stopping, r.stopAsked, r.stopWhy = true, time.Now(), why
-	if r.held != nil {
-		r.held.stopping = true
+	r.stopping, r.stopRequested, r.stopReason = true, time.Now(), why
+	if r.allocation != nil {
+		r.allocation.stopping = true
 		w.freeing = w.freeing.Add(r.each)
 	}
 	h.Log.Info("scheduler: stopping a run", zap.String("task", r.task.String()), zap.Int("run", r.number),
-		zap.Inline(r.life), zap.String("why", why))
+		zap.Inline(r.incarnation), zap.String("why", why))
 	if w.target().Address == "" {
 		return
 	}
-	h.ordering.Go(func() { h.sendStop(w, r) })
+	h.background.Go(func() { h.sendStop(w, r) })
 }
 
 // sendStop sends a stop until the worker has accepted it or the run is gone.
 func (h *shard) sendStop(w *workerState, r *run) {
 	for h.ctx.Err() == nil {
 		h.mu.Lock()
-		wanted, target, bound, mark := w.isStopWanted(r), w.target(), w.answerBound(), w.mark()
+		wanted, target, bound, mark := w.isStopWanted(r), w.target(), w.currentAnswerTimeout(), w.sendState()
 		h.mu.Unlock()
 		if !wanted {
 			return
 		}
 		ctx, cancel := context.WithTimeout(h.ctx, bound)
-		clock, err := h.Orders.Stop(ctx, &target, &fleet.Stop{Task: r.task, Run: r.number, Token: h.tenure.Epoch()})
+		clock, err := h.Commands.Stop(ctx, &target, &fleet.Stop{Task: r.task, Run: r.number, Token: h.leaseTerm.Epoch()})
 		cancel()
 		if h.ctx.Err() != nil {
 			return
 		}
 		h.mu.Lock()
-		h.answered(w, mark, clock, err, "stop")
+		h.recordAnswer(w, mark, clock, err, "stop")
 		refusal, refused := refusalOf(err)
-		if err == nil || refused && refusal == fleet.Outdated {
-			r.stopKnown = time.Now()
-			h.changed = h.changed || w.owed[r] // The worker may be able to accept new runs.
-			delete(w.owed, r)
+		if err == nil || refused && refusal == fleet.OutdatedRun {
+			r.stopAccepted = time.Now()
+			h.decisionDue = h.decisionDue || w.pendingStops[r] // The worker may be able to accept new runs.
+			delete(w.pendingStops, r)
 			w.signal()
 			h.mu.Unlock()
 			return
 		}
-		h.noteFailure(w, mark, err, "stop")
+		h.recordFailure(w, mark, err, "stop")
 		h.mu.Unlock()
 		interval.Sleep(h.ctx, stopRetryDelay)
 	}
@@ -210,7 +210,7 @@
 		if i == r.task.Index {
 			continue
 		}
-		name := r.job.Name(g, i)
+		name := r.job.TaskInGroup(g, i)
 		if w := h.workers[t.Worker.Worker]; w != nil && w.runs[name] != nil && w.runs[name].number == r.number {
 			f(w, w.runs[name])
 		}
@@ -223,16 +223,16 @@
 	j := r.job
 	g := r.group()
 	before := j.Progress.State
-	if !j.End(r.task, r.number, outcome, saved, time.Now().UnixMilli()) {
+	if !j.EndRun(r.task, r.number, outcome, saved, time.Now().UnixMilli()) {
 		return
 	}
-	h.touch(j.Request.ID)
+	h.markDirty(j.Request.ID)
 	h.Figures.Count("runs_" + strings.ReplaceAll(outcome.String(), " ", "_"))
 	if outcome != job.Succeeded {
 		h.logEnd(w, r, outcome)
 		h.stopGang(r, "another member ended")
 	}
-	h.learn(w, r, outcome)
+	h.recordOutcome(w, r, outcome)
 	if outcome == job.FailedRun || outcome == job.NeverRan {
 		j.recordFailure(g, w.ID, outcome == job.FailedRun)
 	}
@@ -241,9 +241,9 @@
 		delete(j.readySince, g)
 	}
 	if j.Progress.State != before && j.Progress.State.Final() {
-		h.jobEnded(j)
+		h.handleJobEnd(j)
 	}
-	if outcome != job.Succeeded && outcome != job.Lapsed && outcome != job.NeverRan {
+	if outcome != job.Succeeded && outcome != job.Expired && outcome != job.NeverRan {
 		h.countStart(j, r.task)
 	}
 }
@@ -251,10 +251,10 @@
 // logEnd logs a run that did not succeed.
 func (h *shard) logEnd(w *workerState, r *run, outcome job.Outcome) {
 	fields := []zap.Field{
-		zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(r.life), zap.Stringer("outcome", outcome),
-		zap.Duration("age", time.Since(r.placed)), zap.String("stopped_for", r.stopWhy),
+		zap.String("task", r.task.String()), zap.Int("run", r.number), zap.Inline(r.incarnation), zap.Stringer("outcome", outcome),
+		zap.Duration("age", time.Since(r.placed)), zap.String("stopped_for", r.stopReason),
 		zap.Float64("core_seconds", h.lostWork(r, &r.job.Request.Steps[r.task.Step], time.Now())),
-		h.beliefOf(w),
+		h.observedStateField(w),
 	}
 	if r.lost != nil {
 		fields = append(fields, zap.Object("lost", r.lost))
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/interval"
 	"github.com/pulleyring/pulleyring/internal/job"
 	"github.com/pulleyring/pulleyring/internal/ledger"
-	"github.com/pulleyring/pulleyring/internal/life"
 	"github.com/pulleyring/pulleyring/internal/logsink"
 	"github.com/pulleyring/pulleyring/internal/loss"
 	"github.com/pulleyring/pulleyring/internal/measure"
@@ -33,7 +33,7 @@
 type Listing struct {
 	Workers []fleet.Worker
 	Gone    []string // Workers whose record was removed or replaced by another writer's.
-	Foreign []string // The names in Gone where another writer's record has taken the place of the worker's own.
+	Invalid []string // The names in Gone where another writer's record has taken the place of the worker's own.
 	Version int64
 	More    bool // Further changes are waiting: the answer reached its size limit.
 	// All changes in the listing were written after this time; zero if unknown. Set by the scheduler.
@@ -45,26 +45,26 @@
 	MaxLease time.Duration // Longest lease that a worker grants.
 	StopTime time.Duration // Longest time that a worker needs to stop a run.
 	// Least time that a worker keeps running after its record is removed on departure; 0 if not guaranteed.
-	Stays    time.Duration
-	GangWait time.Duration // How long a member of a gang waits for the other members.
-	Retain   time.Duration // How long a job is shown after it has ended.
-	Emptied  time.Duration // How long after a hall was emptied work may still start there; 0 for no limit.
-	Policy   placement.Policy
+	MinStay      time.Duration
+	GangWait     time.Duration // How long a member of a gang waits for the other members.
+	Retain       time.Duration // How long a job is shown after it has ended.
+	EmptiedGrace time.Duration // How long after a hall was emptied work may still start there; 0 for no limit.
+	Policy       placement.Policy
 }
 
 // Scheduler holds the dependencies and settings of a shard's scheduler. Run does the work.
 type Scheduler struct {
 	Ledger        *ledger.Ledger
 	Directory     Directory
-	Orders        fleet.Orders
+	Commands      fleet.Commands
 	Configuration func() *queue.Configuration
 	Halls         func() queue.Halls // The emptied halls, as last reported.
 	// Total time that the machine has been suspended; nil if that can't be measured.
-	Slept       func() time.Duration
-	SleptBefore time.Duration // The total time suspended before the lease was claimed.
-	Bounds      Bounds
-	Log         *zap.Logger
-	Figures     *measure.Figures // nil to record no metrics.
+	Suspended       func() time.Duration
+	SuspendedBefore time.Duration // The total time suspended before the lease was claimed.
+	Bounds          Bounds
+	Log             *zap.Logger
+	Figures         *measure.Metrics // nil to record no metrics.
 
 	current atomic.Pointer[shard] // The current lease term, for queries by operators; nil if there is none.
 }
@@ -99,9 +99,9 @@
 // structs, each declared in the file that changes it.
 type shard struct {
 	*Scheduler
-	tenure *ledger.Tenure
-	ctx    context.Context // Ends with the lease term.
-	wake   chan struct{}
+	leaseTerm *ledger.LeaseTerm
+	ctx       context.Context // Ends with the lease term.
+	wake      chan struct{}
 
 	mu sync.Mutex
 	leaseTermTimes
@@ -109,43 +109,43 @@
 	plans
 	pastWorkers
 	pastJobs
-	jobs         map[job.ID]*liveJob
-	workers      map[string]*workerState
-	roster       []*workerState // The workers sorted by name; nil after one was added or removed.
-	holdings     allocations
-	view         placement.View // The view of the last decision; its slices are reused.
-	losses       loss.Judge
-	changed      bool // Something changed that a decision may depend on.
-	lastDecision time.Time
-	learned      estimates
-	stepTimes    map[groupKey]*stepTimes
-	outbreak     outbreak
-	addresses    addresses
-	lastHalls    knownHalls
-	answers      answerTimes
-	ordering     sync.WaitGroup
+	jobs          map[job.ID]*trackedJob
+	workers       map[string]*workerState
+	sortedWorkers []*workerState // The workers sorted by name; nil after one was added or removed.
+	allocations   allocations
+	view          placement.View // The view of the last decision; its slices are reused.
+	lossDetector  loss.Detector
+	decisionDue   bool // Something changed that a decision may depend on.
+	lastDecision  time.Time
+	estimates     estimates
+	stepTimes     map[groupKey]*stepTimes
+	failureBurst  failureBurst
+	addresses     addresses
+	lastHalls     knownHalls
+	answers       answerTimes
+	background    sync.WaitGroup
 }
 
-// liveJob is a job that the scheduler tracks.
-type liveJob struct {
-	*job.Life
-	version    int64                         // Newest version of the request's rows.
-	readySince map[job.Group]time.Time       // When a group became ready to start.
-	avoid      map[job.Group]map[string]bool // Workers to avoid: true after a failed run, false if the run never began.
-	guaranteed bool                          // Within its workspace's guarantee as of the last decision.
-	apart      map[job.ID]bool               // Up to apartMost jobs whose runs were lost together with this job's.
-	givenUp    map[runKey]time.Time          // When runs were presumed ended without a report from their worker.
-	strays     map[job.Task]int              // Number of orphaned runs by task.
+// trackedJob is a job that the scheduler tracks.
+type trackedJob struct {
+	*job.Tracker
+	version       int64                         // Newest version of the request's rows.
+	readySince    map[job.Group]time.Time       // When a group became ready to start.
+	avoidWorkers  map[job.Group]map[string]bool // Workers to avoid: true after a failed run, false if the run never began.
+	guaranteed    bool                          // Within its workspace's guarantee as of the last decision.
+	apart         map[job.ID]bool               // Up to maxLostTogether jobs whose runs were lost together with this job's.
+	presumedEnded map[runKey]time.Time          // When runs were presumed ended without a report from their worker.
+	orphans       map[job.Task]int              // Number of orphaned runs by task.
 }
 
 // Run schedules the shard until the lease is lost or ctx ends. If ctx ends, it releases the lease. It returns
 // ledger.ErrReplaced if another box has taken the lease.
-func (s *Scheduler) Run(ctx context.Context, term *ledger.Tenure) error {
+func (s *Scheduler) Run(ctx context.Context, term *ledger.LeaseTerm) error {
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	h := newShard(inner, s, term)
-	h.held, h.lastCommitSuspended, h.quiet = term.Claimed, s.SleptBefore, term.Quiet
-	h.marks.add(term.Version(), term.Claimed)
-	defer h.ordering.Wait()
+	h.lastCommit, h.lastCommitSuspended, h.predecessorsQuietSince = term.ClaimedAt, s.SuspendedBefore, term.PredecessorQuietSince
+	h.recentCommits.add(term.Version(), term.ClaimedAt)
+	defer h.background.Wait()
 	defer cancel()
 	began := time.Now()
 	version, listing, err := h.takeOver(ctx)
@@ -157,21 +157,21 @@
 	}
 	s.current.Store(h)
 	defer s.current.Store(nil)
-	h.ordering.Go(func() { h.watchJobs(version) })
-	h.ordering.Go(func() { h.watchDirectory(listing, feedAge{began}) })
-	h.ordering.Go(h.forgetLoop)
+	h.background.Go(func() { h.watchJobs(version) })
+	h.background.Go(func() { h.watchDirectory(listing, feedAge{began}) })
+	h.background.Go(h.forgetLoop)
 	return h.commitLoop(ctx)
 }
 
 // newShard returns the empty state of a new lease term.
-func newShard(ctx context.Context, s *Scheduler, term *ledger.Tenure) *shard {
+func newShard(ctx context.Context, s *Scheduler, term *ledger.LeaseTerm) *shard {
 	return &shard{
-		Scheduler: s, tenure: term, ctx: ctx, wake: make(chan struct{}, 1),
+		Scheduler: s, leaseTerm: term, ctx: ctx, wake: make(chan struct{}, 1),
 		uncommitted: uncommitted{dirty: map[job.ID]bool{}},
 		plans:       plans{reservations: map[groupKey]reservation{}, noPlanUntil: map[groupKey]time.Time{}, waitLoggedAt: map[groupKey]time.Time{}},
-		pastWorkers: pastWorkers{lives: map[string]endedLife{}, givenUp: map[life.ID]*givenUp{}, owed: map[string]owedStops{}},
-		pastJobs:    pastJobs{early: map[job.ID]time.Time{}, away: map[job.ID][]string{}, forgotten: map[job.ID]forgotten{}},
-		jobs:        map[job.ID]*liveJob{}, workers: map[string]*workerState{}, stepTimes: map[groupKey]*stepTimes{},
+		pastWorkers: pastWorkers{endedIncarnations: map[string]endedIncarnation{}, presumedLosses: map[incarnation.ID]*presumedLoss{}, pendingStops: map[string]pendingStops{}},
+		pastJobs:    pastJobs{earlyCancellations: map[job.ID]time.Time{}, otherParts: map[job.ID][]string{}, forgotten: map[job.ID]forgotten{}},
+		jobs:        map[job.ID]*trackedJob{}, workers: map[string]*workerState{}, stepTimes: map[groupKey]*stepTimes{},
 	}
 }
 
@@ -183,20 +183,20 @@
 	}
 }
 
-// touch marks a job's progress as changed, so that it is committed and a new decision is made.
-func (h *shard) touch(id job.ID) {
+// markDirty marks a job's progress as changed, so that it is committed and a new decision is made.
+func (h *shard) markDirty(id job.ID) {
 	h.dirty[id] = true
-	h.changed = true
+	h.decisionDue = true
 	h.signal()
 }
 
-// takeChanges applies requests and cancellations. progress holds the jobs' progress as committed by a predecessor; it
+// applyChanges applies requests and cancellations. progress holds the jobs' progress as committed by a predecessor; it
 // is nil for changes during the lease term.
-func (h *shard) takeChanges(list []ledger.Change, progress map[job.ID]*job.Progress) {
+func (h *shard) applyChanges(list []ledger.Change, progress map[job.ID]*job.Progress) {
 	for i := range list {
 		c := &list[i]
-		if c.Away != "" && !slices.Contains(h.away[c.ID], c.Away) {
-			h.away[c.ID] = append(h.away[c.ID], c.Away)
+		if c.FallbackPart != "" && !slices.Contains(h.otherParts[c.ID], c.FallbackPart) {
+			h.otherParts[c.ID] = append(h.otherParts[c.ID], c.FallbackPart)
 		}
 		if c.Request != nil && c.Version > h.forgotten[c.ID].version {
 			h.addJob(c.Request, progress[c.ID])
@@ -216,10 +216,10 @@
 	if h.jobs[r.ID] != nil {
 		return
 	}
-	j := &liveJob{Life: job.NewLife(r, p), readySince: map[job.Group]time.Time{}, avoid: map[job.Group]map[string]bool{}}
+	j := &trackedJob{Tracker: job.NewTracker(r, p), readySince: map[job.Group]time.Time{}, avoidWorkers: map[job.Group]map[string]bool{}}
 	h.jobs[r.ID] = j
-	h.learned.addJob(r)
-	h.changed = true
+	h.estimates.addJob(r)
+	h.decisionDue = true
 	for _, o := range j.Running() {
 		h.adopt(j, o)
 	}
@@ -234,14 +234,14 @@
 func (h *shard) cancelJob(id job.ID) {
 	j := h.jobs[id]
 	if j == nil {
-		h.early[id] = time.Now()
+		h.earlyCancellations[id] = time.Now()
 		return
 	}
 	if !j.Cancel(time.Now().UnixMilli()) {
 		return
 	}
 	h.Log.Info("scheduler: job cancelled", zap.String("job", string(id)))
-	h.touch(id)
+	h.markDirty(id)
 	h.stopJob(id, "cancelled")
 }
 
@@ -276,7 +276,7 @@
 		}
 		version = changes.Version
 		h.mu.Lock()
-		h.takeChanges(changes.List, nil)
+		h.applyChanges(changes.List, nil)
 		h.mu.Unlock()
 	}
 }
@@ -286,5 +286,5 @@
 	h.Log.Warn("scheduler: a call to the store failed; retrying", zap.String("call", call), logsink.Error(err))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.storeOut = time.Now()
+	h.storeFailedAt = time.Now()
 }
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -11,15 +11,15 @@
 	"github.com/pulleyring/pulleyring/internal/ledger"
 )
 
-// silentShard returns a shard with a worker that has a run under a lease of this lease term.
-func silentShard() (*shard, *workerState) {
-	h := keptShard()
+// shardWithRun returns a shard with a worker that has a run under a lease of this lease term.
+func shardWithRun() (*shard, *workerState) {
+	h := offlineShard()
 	h.Bounds = Bounds{MaxLease: 10 * time.Second, StopTime: time.Second}
-	h.held = time.Now()
+	h.lastCommit = time.Now()
 	w := workerOf(&fleet.Worker{ID: "w", Capacity: job.Resources{Accelerators: 8}})
 	w.listed = true
-	w.leases.own = true
-	w.heard(1)
+	w.leases.ownTerm = true
+	w.recordClock(1)
 	h.workers["w"] = w
 	h.addJob(&job.Request{ID: "j", Steps: []job.Step{{Count: 1, Each: job.Resources{Accelerators: 1}}}, Terms: job.Terms{Attempts: 9}}, nil)
 	d := h.demand(h.jobs["j"], job.Group{}, time.Now())
@@ -34,14 +34,14 @@
 // departure. Their runs started elsewhere while they still ran. Only an answer of another incarnation may end a
 // run before its lease has surely expired.
 func TestSilentWorkerKeepsRunsUntilLeaseExpires(t *testing.T) {
-	poll := func(h *shard, w *workerState) { h.pollFailed(w, w.mark(), fleet.ErrHungUp) }
-	start := func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrHungUp, "start") }
-	refused := func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrNotListening, "look") }
-	silent := func(h *shard, w *workerState) { h.pollFailed(w, w.mark(), fleet.ErrNoAnswer) }
+	poll := func(h *shard, w *workerState) { h.pollFailed(w, w.sendState(), fleet.ErrConnectionClosed) }
+	start := func(h *shard, w *workerState) { h.recordFailure(w, w.sendState(), fleet.ErrConnectionClosed, "start") }
+	refused := func(h *shard, w *workerState) { h.recordFailure(w, w.sendState(), fleet.ErrConnectionRefused, "look") }
+	silent := func(h *shard, w *workerState) { h.pollFailed(w, w.sendState(), fleet.ErrNoAnswer) }
 	unlisted := func(h *shard, w *workerState) { h.unlist(w.ID, false, time.Now()) }
 	due := func(_ *shard, w *workerState) { w.Draining, w.leavesAt = true, time.Now().Add(-time.Millisecond) }
-	moved := func(_ *shard, w *workerState) { w.home, w.Address = "10.0.0.1:80", "10.0.0.2:80" }
-	other := func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.OtherLife, "look") }
+	moved := func(_ *shard, w *workerState) { w.knownAddress, w.Address = "10.0.0.1:80", "10.0.0.2:80" }
+	other := func(h *shard, w *workerState) { h.recordFailure(w, w.sendState(), fleet.OtherIncarnation, "look") }
 	for _, c := range []struct {
 		name  string
 		steps []func(h *shard, w *workerState)
@@ -61,16 +61,16 @@
 		{"hangs up, and another life answers", []func(*shard, *workerState){poll, refused, other}, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			h, w := silentShard()
+			h, w := shardWithRun()
 			for _, step := range c.steps {
 				step(h, w)
 			}
 			h.checkSilence(w)
 			quicktest.Check(t, len(w.runs) == 0, quicktest.Equals, c.ended, quicktest.Commentf(c.name))
-			time.Sleep(h.Bounds.lease(false)) // By our clock; the worker's may be slower.
+			time.Sleep(h.Bounds.renewalTime(false)) // By our clock; the worker's may be slower.
 			h.checkSilence(w)
 			quicktest.Check(t, len(w.runs) == 0, quicktest.Equals, c.ended, quicktest.Commentf("%s, a lease later", c.name))
-			time.Sleep(slowed(h.Bounds.lease(false)) + h.Bounds.endsWithin())
+			time.Sleep(onSlowClock(h.Bounds.renewalTime(false)) + h.Bounds.maxEndDelay())
 			h.checkSilence(w)
 			quicktest.Check(t, w.runs, quicktest.HasLen, 0, quicktest.Commentf("%s, when its lease has expired", c.name))
 		})
@@ -83,23 +83,23 @@
 // the worker has accepted one of its commands.
 func TestLeasesOfAPredecessorAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		before, w := silentShard()
-		before.held = time.Now()
+		before, w := shardWithRun()
+		before.lastCommit = time.Now()
 		replacedAt := time.Now() // The successor's lease term began right after the last commit.
-		after := keptShard()
+		after := offlineShard()
 		after.Bounds = before.Bounds
 		seen := &workerState{}
-		seen.leases.extend(after.Bounds.longestLease(replacedAt.Add(renewedFor)))
+		seen.leases.extend(after.Bounds.latestEnd(replacedAt.Add(maxRenewalTime)))
 		for renewed := true; renewed; time.Sleep(100 * time.Millisecond) {
-			w.heard(time.Since(replacedAt).Milliseconds() + 1)
+			w.recordClock(time.Since(replacedAt).Milliseconds() + 1)
 			until := before.renew(w)
 			renewed = until > 0
-			quicktest.Assert(t, replacedAt.Add(slowed(milliseconds(until))).Before(seen.leases.over), quicktest.IsTrue)
+			quicktest.Assert(t, replacedAt.Add(onSlowClock(milliseconds(until))).Before(seen.leases.endedBy), quicktest.IsTrue)
 		}
 		// So long work outlives an outage of the store.
-		quicktest.Check(t, time.Since(replacedAt) > renewedFor, quicktest.IsTrue)
-		after.tookOrder(seen)
-		quicktest.Check(t, seen.leases.over, quicktest.Equals, after.Bounds.longestLease(time.Now()))
+		quicktest.Check(t, time.Since(replacedAt) > maxRenewalTime, quicktest.IsTrue)
+		after.recordFirstCommand(seen)
+		quicktest.Check(t, seen.leases.endedBy, quicktest.Equals, after.Bounds.latestEnd(time.Now()))
 	})
 }
 
@@ -108,16 +108,16 @@
 // were never freed.
 func TestNothingStartsBesideAnOrphanedRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := silentShard()
+		h, w := shardWithRun()
 		w.Address = "" // Without an address no stop is sent, as there are no commands here.
-		h.loseRuns(w, leasesOver)
+		h.loseRuns(w, leasesExpired)
 		waiting := func() int { return len(h.demand(h.jobs["j"], job.Group{}, time.Now()).Waiting) }
 		quicktest.Check(t, waiting(), quicktest.Equals, 1)
 		task := job.Task{Job: "j"}
-		h.takeReport(w, &fleet.Report{Life: w.life, Clock: 2, Running: []fleet.Run{{Task: task, Run: 1, Done: 0.5}}}, w.mark(), 0)
+		h.applyReport(w, &fleet.Report{Incarnation: w.incarnation, Clock: 2, Running: []fleet.Run{{Task: task, Run: 1, Done: 0.5}}}, w.sendState(), 0)
 		quicktest.Check(t, waiting(), quicktest.Equals, 0)
 		quicktest.Check(t, w.used, quicktest.Equals, job.Resources{Accelerators: 1})
-		h.takeReport(w, &fleet.Report{Life: w.life, Clock: 3, Ended: []fleet.End{{Number: 1, Task: task, Run: 1, Outcome: job.Stopped}}}, w.mark(), 0)
+		h.applyReport(w, &fleet.Report{Incarnation: w.incarnation, Clock: 3, Ended: []fleet.End{{Number: 1, Task: task, Run: 1, Outcome: job.Stopped}}}, w.sendState(), 0)
 		quicktest.Check(t, waiting(), quicktest.Equals, 1)
 		quicktest.Check(t, w.used, quicktest.Equals, job.Resources{})
 	})
@@ -127,12 +127,12 @@
 // a poll does, is not counted in the expiry of the worker's leases.
 func TestStartRenewsTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := silentShard()
-		h.tenure = &ledger.Tenure{}
+		h, w := shardWithRun()
+		h.leaseTerm = &ledger.LeaseTerm{}
 		time.Sleep(time.Second)
 		start, _, _ := h.nextStart(w, w.runs[job.Task{Job: "j"}], 1)
 		left := milliseconds(start.Lease - w.clock)
-		quicktest.Check(t, w.leases.over.Before(w.clockAt.Add(slowed(left)+h.Bounds.endsWithin())), quicktest.IsFalse)
+		quicktest.Check(t, w.leases.endedBy.Before(w.clockAt.Add(onSlowClock(left)+h.Bounds.maxEndDelay())), quicktest.IsFalse)
 	})
 }
 
@@ -141,16 +141,16 @@
 func TestEarlierPollDoesNotEndARun(t *testing.T) {
 	for _, known := range []func(r *run){
 		func(r *run) { r.confirmed = time.Now() },
-		func(r *run) { r.stopKnown = time.Now() },
+		func(r *run) { r.stopAccepted = time.Now() },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			h, w := silentShard()
+			h, w := shardWithRun()
 			sent := time.Now()
 			time.Sleep(time.Millisecond)
 			known(w.runs[job.Task{Job: "j"}])
-			h.takeReport(w, &fleet.Report{Life: w.life, Clock: 2}, sentMark{ends: w.listedEnds, at: sent}, 0)
+			h.applyReport(w, &fleet.Report{Incarnation: w.incarnation, Clock: 2}, sendState{ends: w.endCursor, at: sent}, 0)
 			quicktest.Check(t, w.runs, quicktest.HasLen, 1)
-			h.takeReport(w, &fleet.Report{Life: w.life, Clock: 3}, sentMark{ends: w.listedEnds, at: time.Now().Add(time.Millisecond)}, 0)
+			h.applyReport(w, &fleet.Report{Incarnation: w.incarnation, Clock: 3}, sendState{ends: w.endCursor, at: time.Now().Add(time.Millisecond)}, 0)
 			quicktest.Check(t, w.runs, quicktest.HasLen, 0)
 		})
 	}
--- a/internal/scheduler/since_test.go
+++ b/internal/scheduler/since_test.go
@@ -6,20 +6,20 @@
 
 	"github.com/frankban/quicktest"
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 	"go.uber.org/zap"
 )
 
 // TestRefusedStartKeepsWaitingTime fails if a task whose start was refused loses its waiting time, as guaranteed work
 // must start within its limit. A task that has run starts to wait anew.
 func TestRefusedStartKeepsWaitingTime(t *testing.T) {
-	for outcome, kept := range map[job.Outcome]bool{job.NeverRan: true, job.Stopped: false, job.Lapsed: false} {
-		h := &shard{Scheduler: &Scheduler{Log: zap.NewNop()}, wake: make(chan struct{}, 1), jobs: map[job.ID]*liveJob{}, uncommitted: uncommitted{dirty: map[job.ID]bool{}}}
+	for outcome, kept := range map[job.Outcome]bool{job.NeverRan: true, job.Stopped: false, job.Expired: false} {
+		h := &shard{Scheduler: &Scheduler{Log: zap.NewNop()}, wake: make(chan struct{}, 1), jobs: map[job.ID]*trackedJob{}, uncommitted: uncommitted{dirty: map[job.ID]bool{}}}
 		h.addJob(request("a", time.Second), nil)
 		j, group, since := h.jobs["a"], job.Group{}, time.Unix(1000, 0)
 		j.readySince[group] = since
-		order := j.Place(group, map[int]life.ID{0: {Worker: "w"}})[0]
+		order := j.Place(group, map[int]incarnation.ID{0: {Worker: "w"}})[0]
 		r := &run{task: order.Task, number: order.Run, job: j}
 		w := workerOf(&fleet.Worker{})
 		h.addRun(w, r)
--- a/internal/scheduler/lagging.go
+++ b/internal/scheduler/slow_members.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// laggingAt is how many times slower than the others in its gang a member must be for its worker to count
+	// slowFactor is how many times slower than the others in its gang a member must be for its worker to count
 	// as slow. Members on healthy workers differed by up to 1.3 times, and the workers of a site differ by 1.6
 	// (0.8 to 1.25 of the usual speed).
-	laggingAt = 3
+	slowFactor = 3
 	// speedMinAge is the minimum age of a run whose speed is derived from its share, which is reported in whole
 	// percent.
 	speedMinAge = 700 * time.Millisecond
@@ -29,16 +29,16 @@
 // unknown.
 func (r *run) speed() float64 {
 	p := &r.progress
-	if p.at.IsZero() || r.confirmed.IsZero() {
+	if p.reportedAt.IsZero() || r.confirmed.IsZero() {
 		return 0
 	}
 	if p.share >= 1 {
-		return max(p.best, 1/max(p.moved.Sub(r.confirmed).Seconds(), speedMinAge.Seconds()))
+		return max(p.bestRate, 1/max(p.grewAt.Sub(r.confirmed).Seconds(), speedMinAge.Seconds()))
 	}
 	if p.rate > 0 {
 		return p.rate
 	}
-	age := p.at.Sub(r.confirmed)
+	age := p.reportedAt.Sub(r.confirmed)
 	if age < speedMinAge || r.saved != "" {
 		return 0
 	}
@@ -48,7 +48,7 @@
 // slowMembers returns the members of a gang that are far slower than the others, and how long the whole work
 // would take without them. It returns nil if fewer than two members, or fewer than half of them, have a known
 // speed.
-func (x *held) slowMembers() (slow []*run, whole time.Duration) {
+func (x *allocation) slowMembers() (slow []*run, whole time.Duration) {
 	var paces []float64
 	for _, r := range x.runs {
 		if pace := r.speed(); pace > 0 {
@@ -63,7 +63,7 @@
 	for _, r := range x.runs {
 		switch pace := r.speed(); {
 		case pace <= 0:
-		case pace < usual/laggingAt:
+		case pace < usual/slowFactor:
 			slow = append(slow, r)
 		default:
 			whole = max(whole, seconds(1/pace))
@@ -78,9 +78,9 @@
 // periods pass: restarting every gang that would end sooner that way lost two and a half times as much work and
 // served no more.
 func (h *shard) handleSlowMembers(w *workerState, now time.Time) {
-	var last *held
+	var last *allocation
 	for _, r := range w.runs {
-		x := r.held
+		x := r.allocation
 		if x == last || len(x.runs) < 2 || x.stopping || r.job.Request.Steps[r.task.Step].Lasting {
 			continue
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-func (h *shard) handleSlowGang(x *held, slow []*run, whole time.Duration, now time.Time) {
+func (h *shard) handleSlowGang(x *allocation, slow []*run, whole time.Duration, now time.Time) {
 	left := time.Duration(0)
 	for _, r := range slow {
 		r.worker.slowAt = now
@@ -111,16 +111,16 @@
 
 // isRestartWorthwhile reports whether a gang that needs left more time earns nothing unless it restarts, and a
 // restart earns a part worth more than the lost work.
-func (h *shard) isRestartWorthwhile(x *held, left, whole time.Duration, now time.Time) bool {
+func (h *shard) isRestartWorthwhile(x *allocation, left, whole time.Duration, now time.Time) bool {
 	first := x.runs[0]
 	request := first.job.Request
-	lastGoal := time.UnixMilli(request.Due(first.task.Occurrence)).Add(lateFactor * h.allowed(request))
+	lastGoal := time.UnixMilli(request.Due(first.task.Occurrence)).Add(lateFactor * h.allowedTime(request))
 	late := now.Add(left).After(lastGoal)
 	anew := !now.Add(h.Bounds.StopTime + restartWait + whole).After(lastGoal)
-	return late && anew && lateShare*h.value(request) >= h.lossOf(x, now)*h.Bounds.Policy.WasteCost
+	return late && anew && lateShare*h.value(request) >= h.lostWorkOf(x, now)*h.Bounds.Policy.WasteCost
 }
 
-// lags reports whether a gang member recently showed the worker to be slow.
-func (c *workerHealth) lags(now time.Time) bool {
+// isSlow reports whether a gang member recently showed the worker to be slow.
+func (c *workerHealth) isSlow(now time.Time) bool {
 	return !c.slowAt.IsZero() && now.Sub(c.slowAt) < slowRetention
 }
--- a/internal/scheduler/speed.go
+++ b/internal/scheduler/speed.go
@@ -18,10 +18,10 @@
 	logSum float64 // Sum of the natural logarithms of their run times in seconds.
 }
 
-// overdue returns the largest factor, at least 1, by which a run on a worker exceeds the mean run time of its step
+// runSlowdown returns the largest factor, at least 1, by which a run on a worker exceeds the mean run time of its step
 // or, for a task that is not in a gang, falls behind its own best rate. It detects a worker that has become slow or
 // has stalled before anything ends there.
-func (h *shard) overdue(w *workerState, now time.Time) float64 {
+func (h *shard) runSlowdown(w *workerState, now time.Time) float64 {
 	most := 1.0
 	for _, r := range w.runs {
 		if !r.job.Request.Steps[r.task.Step].Gang {
--- a/internal/scheduler/slept_test.go
+++ b/internal/scheduler/suspended_test.go
@@ -14,24 +14,24 @@
 func TestSuspensionDoesNotExtendRenewals(t *testing.T) {
 	for _, suspended := range []time.Duration{0, time.Second, 5 * time.Second, 7900 * time.Millisecond, 8 * time.Second, 20 * time.Second, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
-			before, w := silentShard()
+			before, w := shardWithRun()
 			total := time.Duration(0)
-			before.Slept = func() time.Duration { return total }
+			before.Suspended = func() time.Duration { return total }
 			replacedAt := time.Now() // The successor's claim took effect right after the last commit.
-			bound := before.Bounds.longestLease(replacedAt.Add(renewedFor))
+			bound := before.Bounds.latestEnd(replacedAt.Add(maxRenewalTime))
 			time.Sleep(100 * time.Millisecond)
 			total = suspended
 			renewed := true
 			for ; renewed; time.Sleep(100 * time.Millisecond) {
-				w.heard((time.Since(replacedAt) + total).Milliseconds() + 1) // The worker was not suspended.
+				w.recordClock((time.Since(replacedAt) + total).Milliseconds() + 1) // The worker was not suspended.
 				until := before.renew(w)
 				renewed = until > 0
-				if ends := replacedAt.Add(slowed(milliseconds(until))); !ends.Before(bound) {
+				if ends := replacedAt.Add(onSlowClock(milliseconds(until))); !ends.Before(bound) {
 					t.Fatalf("suspended for %s: leases last until %s after the last commit, a successor expects at most %s", suspended, ends.Sub(replacedAt), bound.Sub(replacedAt))
 				}
 			}
 			// As long as without a suspension.
-			quicktest.Check(t, time.Since(replacedAt)+suspended > renewedFor, quicktest.IsTrue)
+			quicktest.Check(t, time.Since(replacedAt)+suspended > maxRenewalTime, quicktest.IsTrue)
 		})
 	}
 }
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -40,8 +40,8 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	h.Figures.Took("scheduler_takeover", time.Since(began))
-	h.Log.Info("scheduler: took over", zap.Int64("epoch", h.tenure.Epoch()), zap.Int("jobs", len(h.jobs)),
+	h.Figures.ObserveDuration("scheduler_takeover", time.Since(began))
+	h.Log.Info("scheduler: took over", zap.Int64("epoch", h.leaseTerm.Epoch()), zap.Int("jobs", len(h.jobs)),
 		zap.Int("workers", len(h.workers)), zap.Duration("took", time.Since(began)))
 	return jobsVersion, workersVersion, nil
 }
@@ -59,14 +59,14 @@
 		default:
 		}
 		began, suspended := time.Now(), h.totalSuspended()
-		err := h.tenure.Commit(ctx, &ledger.Batch{})
-		if errors.Is(err, ledger.ErrReplaced) {
+		err := h.leaseTerm.Commit(ctx, &ledger.Batch{})
+		if errors.Is(err, ledger.ErrLeaseTaken) {
 			return err
 		}
 		if err == nil {
 			h.mu.Lock()
-			h.held, h.lastCommitSuspended = began, suspended
-			h.marks.add(h.tenure.Version(), began)
+			h.lastCommit, h.lastCommitSuspended = began, suspended
+			h.recentCommits.add(h.leaseTerm.Version(), began)
 			h.mu.Unlock()
 		}
 	}
@@ -100,8 +100,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.addresses.begin(reached)
-	h.takeListing(listing, true)
-	h.takeChanges(changes.List, progress)
+	h.applyListing(listing, true)
+	h.applyChanges(changes.List, progress)
 	return changes.Version, listing.Version, nil
 }
 
--- a/internal/scheduler/talk.go
+++ b/internal/scheduler/talk.go
@@ -18,12 +18,12 @@
 	newestClock int64     // The highest clock in any answer.
 	reportClock int64     // The clock in the newest report.
 	passedOver  outdatedReports
-	lookedAt    time.Time     // When the last poll was answered.
+	polledAt    time.Time     // When the last poll was answered.
 	patientPoll bool          // A poll with a long timeout is in flight.
 	cancelPoll  func()        // Cancels the regular poll in flight.
 	answerDelay time.Duration // How much longer than its wait the last poll took.
 	// Where it accepted its first command of this lease term, or where the predecessor reached it.
-	home             string
+	knownAddress     string
 	failures         int       // Consecutive commands without an answer.
 	missedAt         time.Time // When minMissed consecutive commands had gone unanswered.
 	backAt           time.Time // When it answered again after failures.
@@ -44,8 +44,8 @@
 	}
 }
 
-// heard records the worker's clock from an answer; 0 means that the answer had none.
-func (c *contact) heard(clock int64) {
+// recordClock records the worker's clock from an answer; 0 means that the answer had none.
+func (c *contact) recordClock(clock int64) {
 	if clock == 0 {
 		return
 	}
@@ -68,13 +68,13 @@
 		poll := &next.poll
 		ctx, cancel := context.WithTimeout(h.ctx, next.timeout)
 		h.setCancelPoll(w, next.mark, cancel)
-		report, err := h.Orders.Look(ctx, &next.target, poll)
+		report, err := h.Commands.Poll(ctx, &next.target, poll)
 		cancel()
 		if h.ctx.Err() != nil {
 			return
 		}
 		if poll.Wait == 0 {
-			h.noteAnswer(err, time.Since(next.mark.at))
+			h.recordAnswerTime(err, time.Since(next.mark.at))
 		}
 		if err != nil {
 			h.pollFailed(w, next.mark, err)
@@ -85,7 +85,7 @@
 		}
 		pause = pollRetry
 		h.recordPollDelay(w, time.Since(next.mark.at)-poll.Wait)
-		if h.takeReport(w, &report, next.mark, poll.Acknowledged) {
+		if h.applyReport(w, &report, next.mark, poll.Acknowledged) {
 			h.awaitCommit(w)
 		} else if poll.Wait == 0 {
 			interval.Sleep(h.ctx, settlePause)
@@ -95,25 +95,25 @@
 
 // setCancelPoll registers the cancel function of the regular poll in flight. It cancels the poll at once if
 // another incarnation has been tracked since the poll was prepared.
-func (h *shard) setCancelPoll(w *workerState, m sentMark, end func()) {
+func (h *shard) setCancelPoll(w *workerState, m sendState, end func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	w.cancelPoll = end
-	if w.isOld(m) {
+	if w.isOutdated(m) {
 		end()
 	}
 }
 
 // pauseAfter waits after a failed regular poll. It returns early once another poll was answered or a later
 // incarnation is tracked, whose runs would otherwise go unseen for that time.
-func (h *shard) pauseAfter(w *workerState, m sentMark, d time.Duration) {
+func (h *shard) pauseAfter(w *workerState, m sendState, d time.Duration) {
 	h.mu.Lock()
 	silent := w.failures > 0
 	h.mu.Unlock()
 	isBack := func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return w.isOld(m) || silent && w.failures == 0
+		return w.isOutdated(m) || silent && w.failures == 0
 	}
 	for end := time.Now().Add(d); time.Until(end) > 0 && h.ctx.Err() == nil && !isBack(); {
 		interval.SleepOrWoken(h.ctx, time.Until(end), w.wake)
@@ -130,14 +130,14 @@
 // pollOnce sends one poll beside the regular ones. It ignores a failure, as the regular polls find the reason.
 func (h *shard) pollOnce(w *workerState, within time.Duration) {
 	h.mu.Lock()
-	poll, target, mark := &fleet.Look{Token: h.tenure.Epoch(), Acknowledged: w.toForget()}, w.target(), w.mark()
+	poll, target, mark := &fleet.Poll{Token: h.leaseTerm.Epoch(), Acknowledged: w.toForget()}, w.target(), w.sendState()
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(h.ctx, within)
 	defer cancel()
-	report, err := h.Orders.Look(ctx, &target, poll)
+	report, err := h.Commands.Poll(ctx, &target, poll)
 	if err == nil {
 		h.recordPollDelay(w, time.Since(mark.at))
-		h.takeReport(w, &report, mark, poll.Acknowledged)
+		h.applyReport(w, &report, mark, poll.Acknowledged)
 	}
 }
 
@@ -157,9 +157,9 @@
 
 // nextPoll is the next step of the poll loop.
 type nextPoll struct {
-	poll    fleet.Look
+	poll    fleet.Poll
 	target  fleet.Worker
-	mark    sentMark
+	mark    sendState
 	timeout time.Duration // Timeout of the poll.
 	idle    bool          // There is nothing to poll for.
 	gone    bool          // The worker was declared lost.
@@ -170,16 +170,16 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.checkSilence(w)
-	if w.gone {
+	if w.declaredLost {
 		return nextPoll{gone: true}
 	}
 	if w.target().Address == "" {
 		return nextPoll{idle: true}
 	}
-	if len(w.runs) == 0 && w.clock != 0 && w.told >= w.acknowledged && w.failures == 0 && w.isCertain() {
+	if len(w.runs) == 0 && w.clock != 0 && w.forgotten >= w.acknowledged && w.failures == 0 && w.isCertain() {
 		return nextPoll{idle: true}
 	}
-	poll := fleet.Look{Token: h.tenure.Epoch(), Acknowledged: w.toForget()}
+	poll := fleet.Poll{Token: h.leaseTerm.Epoch(), Acknowledged: w.toForget()}
 	// The leases of a silent worker are not renewed, so that they surely expire.
 	if w.clock != 0 && len(w.runs) > 0 && w.failures == 0 && w.isCertain() {
 		poll.Lease = h.renew(w)
@@ -187,7 +187,7 @@
 			poll.Wait = w.pollWait()
 		}
 	}
-	return nextPoll{poll: poll, target: w.target(), mark: w.mark(), timeout: w.capAtLeaseEnd(poll.Wait + w.answerBound())}
+	return nextPoll{poll: poll, target: w.target(), mark: w.sendState(), timeout: w.capAtLeaseEnd(poll.Wait + w.currentAnswerTimeout())}
 }
 
 // minWait is the shortest timeout of an answer and the shortest pause.
@@ -199,7 +199,7 @@
 	if w.failures == 0 || len(w.runs) == 0 {
 		return wait
 	}
-	return min(wait, max(time.Until(w.leases.over), minWait))
+	return min(wait, max(time.Until(w.leases.endedBy), minWait))
 }
 
 func (h *shard) capAtLeaseEnd(w *workerState, wait time.Duration) time.Duration {
@@ -210,7 +210,7 @@
 
 // pollWait returns how long a poll waits for a run to end.
 func (w *workerState) pollWait() time.Duration {
-	if w.leaves() {
+	if w.isDeparting() {
 		return leavingPollWait
 	}
 	return pollWait
@@ -220,7 +220,7 @@
 // confirmed.
 func (w *workerState) unsettled() bool {
 	for _, r := range w.runs {
-		if r.confirmed.IsZero() && (r.adopted || !r.gaveUp.IsZero() || !r.stopKnown.IsZero()) {
+		if r.confirmed.IsZero() && (r.adopted || !r.startAbandonedAt.IsZero() || !r.stopAccepted.IsZero()) {
 			return true
 		}
 	}
@@ -243,10 +243,10 @@
 }
 
 // pollFailed records a poll without an answer.
-func (h *shard) pollFailed(w *workerState, m sentMark, err error) {
+func (h *shard) pollFailed(w *workerState, m sendState, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.noteFailure(w, m, err, "look")
+	h.recordFailure(w, m, err, "look")
 }
 
 // refusalOf returns the refusal in an error, or false if the worker did not answer.
@@ -256,44 +256,46 @@
 	return r, ok
 }
 
-// noteFailure records that a worker refused a command or did not answer it.
-func (h *shard) noteFailure(w *workerState, m sentMark, err error, command string) {
+// recordFailure records that a worker refused a command or did not answer it.
+func (h *shard) recordFailure(w *workerState, m sendState, err error, command string) {
 	refusal, refused := refusalOf(err)
-	if w.isOld(m) && (!refused || refusal != fleet.Fenced) {
+	if w.isOutdated(m) && (!refused || refusal != fleet.Fenced) {
 		return // It was sent to an earlier incarnation.
 	}
-	if !refused || refusal == fleet.OtherLife && !w.isAtKnownAddress() {
-		w.connectionClosed = w.connectionClosed || errors.Is(err, fleet.ErrHungUp)
+	if !refused || refusal == fleet.OtherIncarnation && !w.isAtKnownAddress() {
+		w.connectionClosed = w.connectionClosed || errors.Is(err, fleet.ErrConnectionClosed)
 		h.Figures.Count("orders_unanswered")
 		w.failures++
 		w.recordMissed()
 		if w.failures == 1 {
-			h.Log.Warn("scheduler: worker does not answer; retrying", zap.Inline(w.life), zap.String("order", command), logsink.Error(err))
-			h.changed = true
+			h.Log.Warn("scheduler: worker does not answer; retrying", zap.Inline(w.incarnation), zap.String("order", command), logsink.Error(err))
+			h.decisionDue = true
 		}
 		return
 	}
 	switch refusal {
-	case fleet.OtherLife:
+	case fleet.OtherIncarnation:
 		h.endIncarnation(w)
 	case fleet.Fenced:
 		h.endLeaseTerm(w)
-	case fleet.Unhealthy, fleet.NoRoom:
+	case fleet.Unhealthy, fleet.NoCapacity:
 		w.unhealthyUntil = time.Now().Add(unhealthyFor)
 	}
-	h.changed = true
+	h.decisionDue = true
 	h.signal()
 }
 
 // isAtKnownAddress reports whether the worker's address is the one where it was reached in this lease term or
 // the one before, or whether none is known. At an address from a later record, an answer of another incarnation
 // does not prove that this one has ended.
-func (w *workerState) isAtKnownAddress() bool { return w.home == "" || w.home == w.target().Address }
+func (w *workerState) isAtKnownAddress() bool {
+	return w.knownAddress == "" || w.knownAddress == w.target().Address
+}
 
 // endLeaseTerm ends the lease term, because a worker has seen the fencing token of a later holder.
 func (h *shard) endLeaseTerm(w *workerState) {
 	if !h.replaced {
-		h.Log.Warn("scheduler: worker has seen a later lease holder; ending the lease term", zap.Inline(w.life), zap.Int64("epoch", h.tenure.Epoch()))
+		h.Log.Warn("scheduler: worker has seen a later lease holder; ending the lease term", zap.Inline(w.incarnation), zap.Int64("epoch", h.leaseTerm.Epoch()))
 	}
 	h.replaced = true
 }
--- a/internal/scheduler/unsaid.go
+++ b/internal/scheduler/unannounced.go
@@ -24,7 +24,7 @@
 		return
 	}
 	gone := w.unlistedAt
-	h.ordering.Go(func() { h.drainUnannounced(w, gone, asOf) })
+	h.background.Go(func() { h.drainUnannounced(w, gone, asOf) })
 }
 
 // drainUnannounced drains a worker whose record is missing, as if it had announced its departure, once an
@@ -39,12 +39,12 @@
 	for {
 		h.mu.Lock()
 		wait, missing := h.untilUnannounced(w, gone, time.Now())
-		earliest := asOf.Add(h.Bounds.Stays)
+		earliest := asOf.Add(h.Bounds.MinStay)
 		if missing && wait <= 0 {
 			w.leavesAt, w.staysUntil = earliest, earliest
 			h.Figures.Count("workers_left_unsaid")
-			h.Log.Info("scheduler: worker leaves unannounced; stopping its runs in time", zap.Inline(w.life), zap.Int("runs", len(w.runs)),
-				zap.Duration("left", time.Until(earliest)), h.beliefOf(w))
+			h.Log.Info("scheduler: worker leaves unannounced; stopping its runs in time", zap.Inline(w.incarnation), zap.Int("runs", len(w.runs)),
+				zap.Duration("left", time.Until(earliest)), h.observedStateField(w))
 		}
 		h.mu.Unlock()
 		if !missing {
@@ -65,11 +65,11 @@
 // reappears soon after either answers again. If the store works and the worker has answered since the record
 // went, the worker is leaving.
 func (h *shard) untilUnannounced(w *workerState, gone, now time.Time) (wait time.Duration, missing bool) {
-	if w.gone || w.listed || w.Draining || !w.unlistedAt.Equal(gone) {
+	if w.declaredLost || w.listed || w.Draining || !w.unlistedAt.Equal(gone) {
 		return 0, false
 	}
 	well := w.knownSince // Faults before that are unknown.
-	for _, wrong := range []time.Time{w.backAt, h.storeOut} {
+	for _, wrong := range []time.Time{w.backAt, h.storeFailedAt} {
 		if wrong.After(well) {
 			well = wrong
 		}
--- a/internal/scheduler/unsaid_test.go
+++ b/internal/scheduler/unannounced_test.go
@@ -33,13 +33,13 @@
 		missing bool
 	}{
 		{"it answers, and nothing is wrong", func(*shard, *workerState) {}, 0, true},
-		{"the store failed a call long ago", func(h *shard, _ *workerState) { h.storeOut = time.Now().Add(-3001 * ms) }, 0, true},
-		{"the store failed a call a second ago", func(h *shard, _ *workerState) { h.storeOut = time.Now().Add(-time.Second) }, 2 * time.Second, true},
+		{"the store failed a call long ago", func(h *shard, _ *workerState) { h.storeFailedAt = time.Now().Add(-3001 * ms) }, 0, true},
+		{"the store failed a call a second ago", func(h *shard, _ *workerState) { h.storeFailedAt = time.Now().Add(-time.Second) }, 2 * time.Second, true},
 		{"it is back since a second", func(_ *shard, w *workerState) { w.backAt = time.Now().Add(-time.Second) }, 2 * time.Second, true},
 		{"it is back since a second, and the store since half of one", func(h *shard, w *workerState) {
-			w.backAt, h.storeOut = time.Now().Add(-time.Second), time.Now().Add(-500*ms)
+			w.backAt, h.storeFailedAt = time.Now().Add(-time.Second), time.Now().Add(-500*ms)
 		}, 2500 * ms, true},
-		{"it does not answer", func(h *shard, w *workerState) { h.noteFailure(w, w.mark(), fleet.ErrNoAnswer, "look") }, unannouncedCheckInterval, true},
+		{"it does not answer", func(h *shard, w *workerState) { h.recordFailure(w, w.sendState(), fleet.ErrNoAnswer, "look") }, unannouncedCheckInterval, true},
 		{"it has not answered since", func(_ *shard, w *workerState) { w.clockAt = w.unlistedAt.Add(-time.Millisecond) }, unannouncedCheckInterval, true},
 		{"most records are missing", func(h *shard, _ *workerState) { others(h, 2, 3) }, massExpiryCheckInterval, true},
 		{"half of the records are missing", func(h *shard, _ *workerState) { others(h, 3, 2) }, massExpiryCheckInterval, true},
@@ -48,16 +48,16 @@
 		{"its record is back", func(_ *shard, w *workerState) { w.listed = true }, 0, false},
 		{"its record was back and is gone anew", func(_ *shard, w *workerState) { w.unlistedAt = time.Now() }, 0, false},
 		{"it had said that it leaves", func(_ *shard, w *workerState) { w.Draining = true }, 0, false},
-		{"it is gone", func(_ *shard, w *workerState) { w.gone = true }, 0, false},
+		{"it is gone", func(_ *shard, w *workerState) { w.declaredLost = true }, 0, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			h, w := silentShard()
+			h, w := shardWithRun()
 			others(h, 2, 0)
 			time.Sleep(10 * time.Second)
 			w.listed, w.unlistedAt = false, time.Now()
 			gone := w.unlistedAt
 			time.Sleep(10 * ms)
-			w.heard(2)
+			w.recordClock(2)
 			c.bring(h, w)
 			wait, missing := h.untilUnannounced(w, gone, time.Now())
 			quicktest.Check(t, missing, quicktest.Equals, c.missing, quicktest.Commentf(c.name))
@@ -67,13 +67,13 @@
 }
 
 // unreachable answers no command.
-type unreachable struct{ fleet.Orders }
+type unreachable struct{ fleet.Commands }
 
 func (unreachable) Stop(context.Context, *fleet.Worker, *fleet.Stop) (int64, error) {
 	return 0, fleet.ErrNoAnswer
 }
 
-func (unreachable) Look(context.Context, *fleet.Worker, *fleet.Look) (fleet.Report, error) {
+func (unreachable) Poll(context.Context, *fleet.Worker, *fleet.Poll) (fleet.Report, error) {
 	return fleet.Report{}, fleet.ErrNoAnswer
 }
 
@@ -81,29 +81,29 @@
 // worker. Its runs must continue until its own record is surely gone.
 func TestForeignRecordIsNoDeparture(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, w := silentShard()
+		h, w := shardWithRun()
 		for _, id := range []string{"u", "v"} {
 			h.workers[id] = workerOf(&fleet.Worker{})
 			h.workers[id].listed = true
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		h.ctx, h.Orders, h.tenure, w.Address = ctx, unreachable{}, &ledger.Tenure{}, "10.0.0.1:80"
+		h.ctx, h.Commands, h.leaseTerm, w.Address = ctx, unreachable{}, &ledger.LeaseTerm{}, "10.0.0.1:80"
 		r := w.runs[job.Task{Job: "j"}]
 		stopping := func() bool {
 			time.Sleep(time.Second)
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			w.heard(2)
+			w.recordClock(2)
 			return r.stopping
 		}
 		list := func(l Listing) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			l.AsOf = time.Now()
-			h.takeListing(l, false)
+			h.applyListing(l, false)
 		}
 		for range 3 {
-			list(Listing{Gone: []string{"w"}, Foreign: []string{"w"}})
+			list(Listing{Gone: []string{"w"}, Invalid: []string{"w"}})
 			quicktest.Check(t, w.listed, quicktest.IsFalse)
 			quicktest.Check(t, stopping(), quicktest.IsFalse)
 		}
@@ -111,6 +111,6 @@
 		stopping()
 		quicktest.Check(t, stopping(), quicktest.IsTrue)
 		cancel()
-		h.ordering.Wait()
+		h.background.Wait()
 	})
 }
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -11,29 +11,29 @@
 	"github.com/pulleyring/pulleyring/internal/placement"
 )
 
-// takeView updates the view from which decisions are made and returns it.
-func (h *shard) takeView(now time.Time) *placement.View {
+// updateView updates the view from which decisions are made and returns it.
+func (h *shard) updateView(now time.Time) *placement.View {
 	v := &h.view
 	v.Now, v.Policy = now, h.Bounds.Policy
-	suspects := h.judgeLosses()
+	suspects := h.reassessLosses()
 	h.markGuaranteed()
 	h.updateSortedWorkers()
-	v.Workers, v.Holdings, v.Demands = v.Workers[:0], v.Holdings[:0], v.Demands[:0]
+	v.Workers, v.Allocations, v.Demands = v.Workers[:0], v.Allocations[:0], v.Demands[:0]
 	halls := h.updateHalls(now)
-	outbreak := h.outbreak.active(now)
-	for _, w := range h.roster {
+	outbreak := h.failureBurst.active(now)
+	for _, w := range h.sortedWorkers {
 		shown := w.view(now)
-		shown.Closed = !halls.isOpen(w.Hall, now)
-		shown.Usable = shown.Usable && !shown.Closed
-		shown.Begun = w.begun(now)
+		shown.HallClosed = !halls.isOpen(w.Hall, now)
+		shown.AcceptsRuns = shown.AcceptsRuns && !shown.HallClosed
+		shown.JustStarted = w.recentlyPlacedJob(now)
 		if suspects { // Only if needed: searching all runs for suspects takes half as long as the rest of the view.
-			shown.Suspect = w.suspect()
+			shown.SuspectJob = w.suspectJob()
 		}
-		shown.Unproven = outbreak && !w.proven(h.outbreak.began, now)
+		shown.Unproven = outbreak && !w.isHealthySince(h.failureBurst.began, now)
 		v.Workers = append(v.Workers, shown)
 	}
-	for _, x := range h.holdings.list {
-		v.Holdings = append(v.Holdings, h.allocationView(x, now))
+	for _, x := range h.allocations.list {
+		v.Allocations = append(v.Allocations, h.allocationView(x, now))
 	}
 	for _, j := range h.jobs {
 		for _, g := range j.Ready(now.UnixMilli()) {
@@ -50,25 +50,25 @@
 
 // updateSortedWorkers sorts the workers by name and renumbers them, once a worker was added or removed.
 func (h *shard) updateSortedWorkers() {
-	if h.roster != nil {
+	if h.sortedWorkers != nil {
 		return
 	}
-	h.roster = slices.SortedFunc(maps.Values(h.workers), func(x, y *workerState) int { return cmp.Compare(x.ID, y.ID) })
-	for index, w := range h.roster {
-		w.seat = index
+	h.sortedWorkers = slices.SortedFunc(maps.Values(h.workers), func(x, y *workerState) int { return cmp.Compare(x.ID, y.ID) })
+	for index, w := range h.sortedWorkers {
+		w.index = index
 	}
-	h.holdings.updateWorkerIndexes()
+	h.allocations.updateWorkerIndexes()
 }
 
 // view returns the worker as decisions see it.
 func (w *workerState) view(now time.Time) placement.Worker {
 	slowness := max(w.slow.factor(), w.overdue)
-	if w.lags(now) {
-		slowness = max(slowness, laggingAt)
+	if w.isSlow(now) {
+		slowness = max(slowness, slowFactor)
 	}
 	return placement.Worker{
 		ID: w.ID, Service: w.Service, Rack: w.Rack, Labels: w.Labels, Capacity: w.Capacity, Free: w.Capacity.Sub(w.used), Freeing: w.freeing,
-		Usable: w.usable(now) && !w.doubt.barred(now) && !w.stalled, Doubt: w.doubt.level(now), Slowness: slowness,
+		AcceptsRuns: w.usable(now) && !w.failureScore.quarantined(now) && !w.stalled, FailureScore: w.failureScore.level(now), Slowness: slowness,
 	}
 }
 
@@ -87,7 +87,7 @@
 )
 
 // demand returns the demand of a waiting group of tasks.
-func (h *shard) demand(j *liveJob, g job.Group, now time.Time) placement.Demand {
+func (h *shard) demand(j *trackedJob, g job.Group, now time.Time) placement.Demand {
 	since, ok := j.readySince[g]
 	if !ok {
 		since = now
@@ -96,8 +96,8 @@
 	r := j.Request
 	d := placement.Demand{
 		Job: r.ID, Group: g, Workspace: r.Terms.Workspace, Service: r.Terms.Service, Priority: r.Terms.Priority,
-		Step: &r.Steps[g.Step], Since: since, Remaining: h.learned.chainTime(r, g.Step), Covered: j.guaranteed,
-		Avoid: j.avoid[g], Apart: j.apart, Work: h.remainingWork(j, g),
+		Step: &r.Steps[g.Step], ReadySince: since, Remaining: h.estimates.chainTime(r, g.Step), Guaranteed: j.guaranteed,
+		Avoid: j.avoidWorkers[g], AntiAffinity: j.apart, Work: h.remainingWork(j, g),
 	}
 	if d.Step.MostPerWorker > 0 {
 		d.Placed = map[string]int{}
@@ -106,12 +106,12 @@
 	heldTasks := 0
 	for i := range tasks {
 		switch {
-		case tasks[i].State == job.Waiting && h.isHeld(j, j.Name(g, i)):
+		case tasks[i].State == job.Waiting && h.isHeld(j, j.TaskInGroup(g, i)):
 			heldTasks++
 		case tasks[i].State == job.Waiting:
 			d.Waiting = append(d.Waiting, i)
-			lost := j.LossesOf(j.Name(g, i))
-			d.Suspect, d.Alone = d.Suspect || lost.AtOnce > 0, d.Alone || lost.Counted >= loss.AloneAfter
+			lost := j.LossesOf(j.TaskInGroup(g, i))
+			d.Suspect, d.Exclusive = d.Suspect || lost.AtOnce > 0, d.Exclusive || lost.Counted >= loss.ExclusiveAfter
 			if j.isLastAttempt(g, &tasks[i]) {
 				if d.LastAttempts == nil {
 					d.LastAttempts = map[int]bool{}
@@ -125,32 +125,32 @@
 	if heldTasks > 0 && d.Step.Gang {
 		d.Waiting = nil // A gang starts only as a whole.
 	}
-	allowed := h.allowed(r)
+	allowed := h.allowedTime(r)
 	from := time.UnixMilli(r.Due(g.Occurrence))
 	d.Goal, d.LastGoal = from.Add(allowed), from.Add(lateFactor*allowed)
 	d.Value = h.value(r)
 	d.LateValue = lateShare * d.Value
-	d.NoPlan = now.Before(h.noPlanUntil[groupKey{r.ID, g}])
+	d.NoPreemptionPlan = now.Before(h.noPlanUntil[groupKey{r.ID, g}])
 	if c, ok := h.reservations[groupKey{r.ID, g}]; ok && now.Before(c.until) {
-		d.Claim, d.Draining = c.workers, c.withoutPreemption
+		d.Reservation, d.ReservedWithoutPreemption = c.workers, c.withoutPreemption
 	}
 	return d
 }
 
-// allowed returns the time after its due time within which an occurrence earns its full value.
-func (h *shard) allowed(r *job.Request) time.Duration {
-	return time.Duration(r.Terms.Stretch*float64(h.learned.jobTime(r))) + r.Terms.Objective
+// allowedTime returns the time after its due time within which an occurrence earns its full value.
+func (h *shard) allowedTime(r *job.Request) time.Duration {
+	return time.Duration(r.Terms.Stretch*float64(h.estimates.jobTime(r))) + r.Terms.Objective
 }
 
 // value returns the most that one occurrence of a job can earn, in units of priorityValue.
 func (h *shard) value(r *job.Request) float64 {
 	weight := priorityValue[min(max(r.Terms.Priority, 0), len(priorityValue)-1)]
-	mean := max(h.learned.ofQueue(r.Terms.Queue).meanWork.value, 1)
+	mean := max(h.estimates.ofQueue(r.Terms.Queue).meanWork.value, 1)
 	return weight * (baseShare + (1-baseShare)*min(declaredWork(r)/mean, sizeCap)) / float64(r.Occurrences())
 }
 
 // remainingWork returns the expected core-seconds of the tasks of an occurrence that still wait.
-func (h *shard) remainingWork(j *liveJob, g job.Group) float64 {
+func (h *shard) remainingWork(j *trackedJob, g job.Group) float64 {
 	sum := 0.0
 	for s := range j.Request.Steps {
 		step := &j.Request.Steps[s]
@@ -160,7 +160,7 @@
 				left++
 			}
 		}
-		sum += float64(left) * step.Each.Cores() * h.learned.task(j.Request, s).Seconds()
+		sum += float64(left) * step.Each.Cores() * h.estimates.taskTime(j.Request, s).Seconds()
 	}
 	return sum
 }
@@ -173,14 +173,14 @@
 			left[c.Workspaces[i].Name] = c.Workspaces[i].Guaranteed
 		}
 	}
-	var urgent []*liveJob
+	var urgent []*trackedJob
 	for _, j := range h.jobs {
 		j.guaranteed = false
 		if j.Request.Terms.Priority == 0 && !j.Progress.State.Final() {
 			urgent = append(urgent, j)
 		}
 	}
-	slices.SortFunc(urgent, func(x, y *liveJob) int {
+	slices.SortFunc(urgent, func(x, y *trackedJob) int {
 		return cmp.Or(cmp.Compare(x.Request.Accepted, y.Request.Accepted), cmp.Compare(x.Request.ID, y.Request.ID))
 	})
 	for _, j := range urgent {
--- a/internal/scheduler/view_bench_test.go
+++ b/internal/scheduler/view_bench_test.go
@@ -18,7 +18,7 @@
 			h := busyShard(size.workers, size.runs)
 			b.ReportAllocs()
 			for b.Loop() {
-				h.takeView(time.Now())
+				h.updateView(time.Now())
 			}
 		})
 	}
@@ -26,7 +26,7 @@
 
 // busyShard returns a shard whose runs are spread over its workers.
 func busyShard(workers, runs int) *shard {
-	h := keptShard()
+	h := offlineShard()
 	for k := range workers {
 		id := fmt.Sprintf("w%04d", k)
 		h.workers[id] = workerOf(&fleet.Worker{ID: id, Capacity: job.Resources{Accelerators: 8}})
--- a/internal/scheduler/why.go
+++ b/internal/scheduler/why.go
@@ -23,7 +23,7 @@
 	if j == nil {
 		return nil, false
 	}
-	lines := h.whyHeld(j)
+	lines := h.explainHeldTasks(j)
 	for i := range h.view.Demands {
 		if d := &h.view.Demands[i]; d.Job == id && j.isWaiting(d) {
 			lines = append(lines, explainWait(&h.view, i))
@@ -33,7 +33,7 @@
 }
 
 // isWaiting reports whether any task that waited at the last decision still waits.
-func (j *liveJob) isWaiting(d *placement.Demand) bool {
+func (j *trackedJob) isWaiting(d *placement.Demand) bool {
 	tasks := j.Tasks(d.Group)
 	for _, i := range d.Waiting {
 		if tasks[i].State == job.Waiting {
@@ -43,19 +43,19 @@
 	return false
 }
 
-// whyHeld returns a line for each task that is not started because an orphaned run of it is being stopped, or because
+// explainHeldTasks returns a line for each task that is not started because an orphaned run of it is being stopped, or because
 // workers that ran it became silent.
-func (h *shard) whyHeld(j *liveJob) []string {
+func (h *shard) explainHeldTasks(j *trackedJob) []string {
 	lines := h.explainOrphans(j)
 	for i, counted := range j.Progress.Losses {
 		t := j.TaskAt(i)
 		if p, ok := j.Task(t); !ok || p.State != job.Waiting || j.Progress.State.Final() {
 			continue
 		}
-		open := h.losses.Open(t, time.Now())
-		if h.losses.Weigh(t, counted, time.Now()) == loss.Held {
+		open := h.lossDetector.Unproven(t, time.Now())
+		if h.lossDetector.Verdict(t, counted, time.Now()) == loss.OnHold {
 			lines = append(lines, fmt.Sprintf("task %d of step %d is held: of %d workers that were lost under it %d may have been cut off; it is known after %s at the latest",
-				t.Index, t.Step, counted.Counted, open.Counted, loss.Resolved))
+				t.Index, t.Step, counted.Counted, open.Counted, loss.ProvenAfter))
 		}
 	}
 	return lines
@@ -63,13 +63,13 @@
 
 // explainOrphans returns a line for each orphaned run that still runs, or may yet begin, and keeps its task from being
 // started.
-func (h *shard) explainOrphans(j *liveJob) []string {
+func (h *shard) explainOrphans(j *trackedJob) []string {
 	var lines []string
-	for t := range j.strays {
+	for t := range j.orphans {
 		for _, w := range h.workers {
-			if r := w.runs[t]; r != nil && r.stray {
+			if r := w.runs[t]; r != nil && r.orphaned {
 				lines = append(lines, fmt.Sprintf("task %d of step %d is held: its run %d on %s is being stopped since %s, as %s",
-					t.Index, t.Step, r.number, w.life, time.Since(r.stopAsked).Round(time.Millisecond), r.stopWhy))
+					t.Index, t.Step, r.number, w.incarnation, time.Since(r.stopRequested).Round(time.Millisecond), r.stopReason))
 			}
 		}
 	}
@@ -80,15 +80,15 @@
 // explainWait returns a line that explains why a demand of a view waits.
 func explainWait(v *placement.View, i int) string {
 	d, w := &v.Demands[i], placement.Explain(v, i)
-	text := fmt.Sprintf("step %d waits for room for %d tasks since %s: %d workers are suitable, there is room for %d now", d.Group.Step, w.Need,
-		v.Now.Sub(d.Since).Round(time.Millisecond), w.Suitable, w.Now)
+	text := fmt.Sprintf("step %d waits for room for %d tasks since %s: %d workers are suitable, there is room for %d now", d.Group.Step, w.WaitingTasks,
+		v.Now.Sub(d.ReadySince).Round(time.Millisecond), w.SuitableWorkers, w.FitNow)
 	if d.Step.RackLocal {
-		text += fmt.Sprintf(", for %d in one rack", w.Rack)
+		text += fmt.Sprintf(", for %d in one rack", w.FitInRack)
 	}
-	if w.Closed > 0 {
-		text += fmt.Sprintf("; %d workers are in emptied halls", w.Closed)
+	if w.ClosedWorkers > 0 {
+		text += fmt.Sprintf("; %d workers are in emptied halls", w.ClosedWorkers)
 	}
-	if d.Claim != nil {
+	if d.Reservation != nil {
 		text += "; room is being freed"
 	}
 	return text
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/pulleyring/pulleyring/internal/fleet"
+	"github.com/pulleyring/pulleyring/internal/incarnation"
 	"github.com/pulleyring/pulleyring/internal/job"
-	"github.com/pulleyring/pulleyring/internal/life"
 	"go.uber.org/zap"
 )
 
@@ -42,32 +42,32 @@
 
 // run is a placed run whose end is not known yet.
 type run struct {
-	life      life.ID // Incarnation that it was placed on or that reports it.
-	task      job.Task
-	number    int
-	saved     string // Saved state to continue from.
-	each      job.Resources
-	job       *liveJob
-	worker    *workerState
-	held      *held // nil once its end is known.
-	placed    time.Time
-	confirmed time.Time // When the worker first reported or accepted it; zero before that.
+	incarnation incarnation.ID // Incarnation that it was placed on or that reports it.
+	task        job.Task
+	number      int
+	saved       string // Saved state to continue from.
+	each        job.Resources
+	job         *trackedJob
+	worker      *workerState
+	allocation  *allocation // nil once its end is known.
+	placed      time.Time
+	confirmed   time.Time // When the worker first reported or accepted it; zero before that.
 	// When the first start command was sent; zero before that and for an adopted run.
-	ordered  time.Time
-	adopted  bool // Placed by a predecessor.
-	stray    bool // Found on the worker, but not tracked as placed there.
-	ordering bool // A start command is in flight.
+	startSent time.Time
+	adopted   bool // Placed by a predecessor.
+	orphaned  bool // Found on the worker, but not tracked as placed there.
+	starting  bool // A start command is in flight.
 	// When retrying its start, which got no answer, was stopped; zero otherwise.
-	gaveUp    time.Time
-	stopping  bool
-	stopAsked time.Time
-	stopWhy   string // Why it is being stopped, for logs and operators.
+	startAbandonedAt time.Time
+	stopping         bool
+	stopRequested    time.Time
+	stopReason       string // Why it is being stopped, for logs and operators.
 	// When the worker accepted the stop; the run can't start there after that.
-	stopKnown time.Time
-	far       bool // It is remote from its data and takes longer than elsewhere.
-	progress  progress
-	learned   bool     // Its progress has been used to estimate run times.
-	lost      *runLoss // Set once it was lost with its worker.
+	stopAccepted    time.Time
+	remote          bool // It is remote from its data and takes longer than elsewhere.
+	progress        progress
+	usedForEstimate bool     // Its progress has been used to estimate run times.
+	lost            *runLoss // Set once it was lost with its worker.
 }
 
 func (r *run) group() job.Group { return job.Group{Occurrence: r.task.Occurrence, Step: r.task.Step} }
@@ -81,14 +81,14 @@
 	load
 	waker
 	contact
-	*listedEnds // Of the tracked incarnation.
+	*endCursor // Of the tracked incarnation.
 	workerHealth
 	leases leases
 	// Runs presumed ended that may still start. No lease is renewed until the worker has accepted their stops.
-	owed       map[*run]bool
-	seat       int       // Its index in the roster.
-	knownSince time.Time // When it became known.
-	gone       bool
+	pendingStops map[*run]bool
+	index        int       // Its index in the roster.
+	knownSince   time.Time // When it became known.
+	declaredLost bool
 }
 
 // registration is what the worker's record in the store tells.
@@ -111,42 +111,42 @@
 	lastPlacedAt  time.Time     // When that run was placed.
 }
 
-// answered records the answer to a command. An answer of another incarnation at the same address is ignored: it
+// recordAnswer records the answer to a command. An answer of another incarnation at the same address is ignored: it
 // is no sign that this one lives. When it counted, a worker that had crashed at once and was back after 4 s
 // seemed to have lived for these 4 s.
-func (h *shard) answered(w *workerState, m sentMark, clock int64, err error, command string) {
-	if refusal, refused := refusalOf(err); refused && refusal == fleet.OtherLife || w.isOld(m) {
+func (h *shard) recordAnswer(w *workerState, m sendState, clock int64, err error, command string) {
+	if refusal, refused := refusalOf(err); refused && refusal == fleet.OtherIncarnation || w.isOutdated(m) {
 		return
 	}
 	if w.hasClockGoneBack(m, clock) {
 		h.checkForRestart(w, clock, command)
 		return
 	}
-	w.heard(clock)
+	w.recordClock(clock)
 }
 
 // usable reports whether the worker accepts new runs.
 func (w *workerState) usable(now time.Time) bool {
-	return w.listed && !w.gone && !w.Draining && w.isCertain() && w.Life().Is(w.life) && w.clock != 0 && w.failures == 0 && len(w.owed) == 0 && now.After(w.unhealthyUntil)
+	return w.listed && !w.declaredLost && !w.Draining && w.isCertain() && w.Incarnation().Matches(w.incarnation) && w.clock != 0 && w.failures == 0 && len(w.pendingStops) == 0 && now.After(w.unhealthyUntil)
 }
 
-// takeListing applies workers' records. If whole, the listing is complete, and workers missing in it have lost
+// applyListing applies workers' records. If whole, the listing is complete, and workers missing in it have lost
 // their records.
-func (h *shard) takeListing(l Listing, whole bool) {
+func (h *shard) applyListing(l Listing, whole bool) {
 	listed := map[string]bool{}
 	for i := range l.Workers {
 		listed[l.Workers[i].ID] = true
 		if h.applyWorkerRecord(&l.Workers[i], l.AsOf) && !whole {
-			h.recordHeartbeat(l.Workers[i].Life())
+			h.recordHeartbeat(l.Workers[i].Incarnation())
 		}
 	}
 	for _, id := range l.Gone {
-		h.unlist(id, slices.Contains(l.Foreign, id), l.AsOf)
+		h.unlist(id, slices.Contains(l.Invalid, id), l.AsOf)
 	}
 	if whole {
 		for id := range h.workers {
 			if !listed[id] {
-				h.unlist(id, slices.Contains(l.Foreign, id), l.AsOf)
+				h.unlist(id, slices.Contains(l.Invalid, id), l.AsOf)
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 // applyWorkerRecord applies a worker's record and reports whether it is one of the tracked incarnation. A
 // record that has changed was written after asOf.
 func (h *shard) applyWorkerRecord(record *fleet.Worker, asOf time.Time) bool {
-	l := record.Life()
+	l := record.Incarnation()
 	if h.workers[record.ID] == nil {
 		h.logReturnByRecord(l, false)
 	}
@@ -167,12 +167,12 @@
 		w = h.newWorker(l)
 	}
 	switch {
-	case l.Born == 0 && w.life.Born != 0: // It lacks the start time that the worker's own records have.
+	case l.Born == 0 && w.incarnation.Born != 0: // It lacks the start time that the worker's own records have.
 		h.unlist(record.ID, true, asOf)
 		return false
-	case w.life.Follows(l):
+	case w.incarnation.IsLaterThan(l):
 		return false // It is older than the tracked incarnation.
-	case l.Follows(w.life):
+	case l.IsLaterThan(w.incarnation):
 		h.noteLaterIncarnation(w, record, asOf)
 		return false
 	}
@@ -182,20 +182,20 @@
 
 // applyRecord applies a record of the tracked incarnation.
 func (h *shard) applyRecord(w *workerState, record *fleet.Worker, asOf time.Time) {
-	if w.life.Born == 0 {
-		w.life = record.Life()
+	if w.incarnation.Born == 0 {
+		w.incarnation = record.Incarnation()
 	}
 	first := w.Address == ""
 	if first {
-		h.losses.Replaced(record.Address, record.Life())
+		h.lossDetector.Replaced(record.Address, record.Incarnation())
 	}
 	if !w.listed {
-		h.charge(h.losses.Returned(record.Life()))
+		h.applyCharges(h.lossDetector.Returned(record.Incarnation()))
 	}
 	if record.Draining != w.Draining || first || !w.listed {
-		h.Log.Info("scheduler: worker registered or changed its record", zap.Inline(record.Life()), zap.String("rack", record.Rack),
-			zap.Bool("draining", record.Draining), zap.Duration("leaves", record.Leaves))
-		h.changed = true
+		h.Log.Info("scheduler: worker registered or changed its record", zap.Inline(record.Incarnation()), zap.String("rack", record.Rack),
+			zap.Bool("draining", record.Draining), zap.Duration("leaves", record.TimeLeft))
+		h.decisionDue = true
 		h.signal()
 	}
 	leaves := record.Draining && w.leavesAt.IsZero()
@@ -209,14 +209,14 @@
 		h.sendStops(w)
 	}
 	if leaves && len(w.runs) > 0 && w.clock != 0 {
-		h.ordering.Go(func() { h.pollOnce(w, answerTimeout) }) // The last report on its runs may be 1.5 s old.
+		h.background.Go(func() { h.pollOnce(w, answerTimeout) }) // The last report on its runs may be 1.5 s old.
 	}
 	w.signal()
 }
 
 // recordHeartbeat records that a worker has rewritten its record. The worker lives, so if it was silent it was
 // only cut off, and the losses counted against its tasks are taken back.
-func (h *shard) recordHeartbeat(l life.ID) {
+func (h *shard) recordHeartbeat(l incarnation.ID) {
 	h.logReturnByRecord(l, true)
 	w := h.workers[l.Worker]
 	if w == nil {
@@ -224,7 +224,7 @@
 	}
 	w.markAlive(time.Now().Add(-heartbeatDelay))
 	if !w.silentSince.IsZero() && w.aliveAt.After(w.silentSince) {
-		h.charge(h.losses.Returned(l))
+		h.applyCharges(h.lossDetector.Returned(l))
 	}
 }
 
@@ -239,7 +239,7 @@
 func (h *shard) sendStops(w *workerState) {
 	for _, r := range w.runs {
 		if r.stopping {
-			h.ordering.Go(func() { h.sendStop(w, r) })
+			h.background.Go(func() { h.sendStop(w, r) })
 		}
 	}
 }
@@ -247,22 +247,22 @@
 // workerOf returns the state of a worker of which only the record is known.
 func workerOf(record *fleet.Worker) *workerState {
 	return &workerState{
-		Worker: *record, succession: succession{life: record.Life()}, load: load{runs: map[job.Task]*run{}}, waker: waker{make(chan struct{}, 1)},
-		listedEnds: &listedEnds{},
+		Worker: *record, succession: succession{incarnation: record.Incarnation()}, load: load{runs: map[job.Task]*run{}}, waker: waker{make(chan struct{}, 1)},
+		endCursor: &endCursor{},
 	}
 }
 
 // newWorker adds an incarnation of a worker. It may have no record any more if a predecessor placed runs on it;
 // its address then comes from the predecessor.
-func (h *shard) newWorker(l life.ID) *workerState {
-	w := workerOf(&fleet.Worker{ID: l.Worker, Born: l.Born, Address: h.addresses.previous.Of(l)})
+func (h *shard) newWorker(l incarnation.ID) *workerState {
+	w := workerOf(&fleet.Worker{ID: l.Worker, Born: l.Born, Address: h.addresses.previous.Lookup(l)})
 	w.unlistedAt, w.knownSince, w.failures = time.Now(), time.Now(), 1
-	w.leases.extend(h.Bounds.longestLease(h.quiet.Add(renewedFor)))
-	w.home = w.Address
+	w.leases.extend(h.Bounds.latestEnd(h.predecessorsQuietSince.Add(maxRenewalTime)))
+	w.knownAddress = w.Address
 	h.workers[w.ID] = w
 	h.restorePendingStops(w)
-	h.roster = nil
-	h.ordering.Go(func() { h.pollLoop(w) })
+	h.sortedWorkers = nil
+	h.background.Go(func() { h.pollLoop(w) })
 	return w
 }
 
@@ -277,23 +277,23 @@
 	if !foreign && !w.Draining && len(w.runs) > 0 {
 		h.watchUnannounced(w, asOf)
 	}
-	h.Log.Info("scheduler: worker's record is missing from the store", zap.Inline(w.life), zap.Int("runs", len(w.runs)))
+	h.Log.Info("scheduler: worker's record is missing from the store", zap.Inline(w.incarnation), zap.Int("runs", len(w.runs)))
 	w.signal()
-	h.changed = true
+	h.decisionDue = true
 	h.signal()
 }
 
 // adopt starts to track a run that a predecessor placed.
-func (h *shard) adopt(j *liveJob, o job.Order) {
+func (h *shard) adopt(j *trackedJob, o job.PlacedRun) {
 	w := h.workers[o.Worker.Worker]
 	if w == nil {
 		w = h.newWorker(o.Worker)
 		h.watchUnannounced(w, time.Time{})
 	}
-	if o.Worker.Follows(w.life) || w.life.Born == 0 { // The known record is that of an earlier incarnation.
-		w.life = o.Worker
+	if o.Worker.IsLaterThan(w.incarnation) || w.incarnation.Born == 0 { // The known record is that of an earlier incarnation.
+		w.incarnation = o.Worker
 	}
-	h.addRun(w, &run{life: o.Worker, task: o.Task, number: o.Run, saved: o.Saved, job: j, each: j.Request.Steps[o.Task.Step].Each, placed: time.Now(), adopted: true})
+	h.addRun(w, &run{incarnation: o.Worker, task: o.Task, number: o.Run, saved: o.Saved, job: j, each: j.Request.Steps[o.Task.Step].Each, placed: time.Now(), adopted: true})
 }
 
 func (h *shard) addRun(w *workerState, r *run) {
@@ -301,7 +301,7 @@
 	w.used = w.used.Add(r.each)
 	w.lastPlacedJob, w.lastPlacedAt = r.task.Job, r.placed
 	r.worker = w
-	h.holdings.add(r)
+	h.allocations.add(r)
 	w.signal()
 }
 
@@ -310,14 +310,14 @@
 		return
 	}
 	delete(w.runs, r.task)
-	if r.stray {
+	if r.orphaned {
 		r.job.countOrphan(r.task, -1)
 	}
 	w.used = w.used.Sub(r.each)
 	if r.stopping {
 		w.freeing = w.freeing.Sub(r.each)
 	}
-	h.holdings.drop(r)
-	h.changed = true
+	h.allocations.remove(r)
+	h.decisionDue = true
 	h.signal()
 }
--- a/internal/settlement/gang.go
+++ b/internal/settlement/gang.go
@@ -7,14 +7,14 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// Sight is the last known state of one placement of an attempt.
-type Sight struct {
+// WorkerState is the last known state of one placement of an attempt.
+type WorkerState struct {
 	Task    worker.Task
 	Known   bool // The worker reported in time.
 	Lost    bool // The worker is silent or has no record of the task, which may run until its lease expires.
 	Expired bool // Like Lost, and its lease has certainly expired.
-	// Traceless means that the worker has no record of the task, so it will not report its end.
-	Traceless bool
+	// NoTrace means that the worker has no record of the task, so it will not report its end.
+	NoTrace bool
 }
 
 // Step is the next action for an attempt.
@@ -22,42 +22,42 @@
 
 // Steps of an attempt.
 const (
-	Keep    Step = "keep"    // Do nothing: it runs, or too little is known yet.
-	Push    Step = "push"    // All members are live and some have not been commanded to start running.
-	End     Step = "end"     // A member was lost or failed: stop the others.
-	Finish  Step = "finish"  // All members finished: settle with their answers.
-	Again   Step = "again"   // No member runs any more, and the job may run again.
-	Fail    Step = "fail"    // No member runs any more; the job ran or may have run, and does not run again.
-	Cancel  Step = "cancel"  // No member ran, and the job was cancelled.
-	Unknown Step = "unknown" // It cannot be known whether it ran, and it must not run again.
+	NoAction     Step = "keep"    // Do nothing: it runs, or too little is known yet.
+	StartMembers Step = "push"    // All members are live and some have not been commanded to start running.
+	StopMembers  Step = "end"     // A member was lost or failed: stop the others.
+	Finish       Step = "finish"  // All members finished: settle with their answers.
+	RunAgain     Step = "again"   // No member runs any more, and the job may run again.
+	Fail         Step = "fail"    // No member runs any more; the job ran or may have run, and does not run again.
+	Cancel       Step = "cancel"  // No member ran, and the job was cancelled.
+	Unknown      Step = "unknown" // It cannot be known whether it ran, and it must not run again.
 )
 
-// ReasonUnknowable is the reason that a caller gets if only a lost worker knew whether an at-most-once gang ran.
-const ReasonUnknowable = "a worker that may have run it was lost and can't be asked"
+// ReasonWorkerLost is the reason that a caller gets if only a lost worker knew whether an at-most-once gang ran.
+const ReasonWorkerLost = "a worker that may have run it was lost and can't be asked"
 
-// ReasonForgotten is the reason that a caller gets if the upstream lost its records of an at-most-once
+// ReasonUpstreamLostRecords is the reason that a caller gets if the upstream lost its records of an at-most-once
 // request.
-const ReasonForgotten = "the upstream that may have run it has lost what it knew"
+const ReasonUpstreamLostRecords = "the upstream that may have run it has lost what it knew"
 
-// Judge returns the next step of an attempt, given the state of each of its placements.
-func Judge(j *Job, states []Sight) Step {
+// NextStep returns the next step of an attempt, given the state of each of its placements.
+func NextStep(j *Job, states []WorkerState) Step {
 	c := countStates(states)
 	switch {
 	case c.finished == len(states):
 		return Finish
 	case c.unknown > 0:
 		if c.dead > 0 && j.State == Starting {
-			return End
+			return StopMembers
 		}
-		return Keep
+		return NoAction
 	case c.live == 0:
 		return stepAfterEnd(j, c)
 	case c.dead > 0 && j.State == Starting:
-		return End
+		return StopMembers
 	case c.running+c.finished < len(states) && j.State == Starting:
-		return Push
+		return StartMembers
 	}
-	return Keep
+	return NoAction
 }
 
 // stepAfterEnd returns the next step of an attempt that no longer has a live member.
@@ -71,15 +71,15 @@
 	case cancelled:
 		return Fail
 	case !j.Submission.AtMostOnce:
-		return Again
+		return RunAgain
 	case c.ran > 0 && resumesFromCheckpoint(j, c):
-		return Again
+		return RunAgain
 	case c.ran > 0:
 		return Fail
 	case c.expired > 0:
 		return Unknown
 	}
-	return Again
+	return RunAgain
 }
 
 // resumesFromCheckpoint reports whether an at-most-once job may continue from its checkpoint. It may if it was
@@ -91,7 +91,7 @@
 // stateCounts counts the placements of an attempt by state.
 type stateCounts struct{ live, running, finished, failed, dead, ran, checkpointed, expired, unknown int }
 
-func countStates(states []Sight) stateCounts {
+func countStates(states []WorkerState) stateCounts {
 	var c stateCounts
 	for _, s := range states {
 		if !s.Known {
@@ -136,9 +136,9 @@
 	return c
 }
 
-// Saved returns the seconds of work that every placement has in its checkpoint: the least of them, or 0 if a
+// CheckpointedWork returns the seconds of work that every placement has in its checkpoint: the least of them, or 0 if a
 // placement has no checkpoint.
-func Saved(states []Sight) float64 {
+func CheckpointedWork(states []WorkerState) float64 {
 	least := -1.0
 	for _, s := range states {
 		if !s.Known || s.Task.Checkpointed <= 0 {
@@ -152,7 +152,7 @@
 }
 
 // Answers returns a JSON array with the answer of each placement, in the order of the placements.
-func Answers(states []Sight) json.RawMessage {
+func Answers(states []WorkerState) json.RawMessage {
 	parts := make([]json.RawMessage, len(states))
 	for i, s := range states {
 		parts[i] = s.Task.Answer
--- a/internal/settlement/gang_test.go
+++ b/internal/settlement/gang_test.go
@@ -11,21 +11,21 @@
 // reported whether the gang ran. An at-most-once gang stays unresolved; any other fails, or is cancelled if it did
 // not start.
 func TestCancelledOnLostWorker(t *testing.T) {
-	lost := []Sight{{Expired: true}}
+	lost := []WorkerState{{Expired: true}}
 	for _, c := range []struct {
 		name       string
 		atMostOnce bool
-		sights     []Sight
+		sights     []WorkerState
 		want       Step
 	}{
 		{"at most once, lost", true, lost, Unknown},
 		{"repeatable, lost", false, lost, Fail},
-		{"repeatable, lost its memory", false, []Sight{{Known: true, Task: worker.Task{State: worker.Unknown}}}, Fail},
-		{"repeatable, never began", false, []Sight{{Known: true, Task: worker.Task{State: worker.Refused}}}, Cancel},
-		{"at most once, never began", true, []Sight{{Known: true, Task: worker.Task{State: worker.Refused}}}, Cancel},
+		{"repeatable, lost its memory", false, []WorkerState{{Known: true, Task: worker.Task{State: worker.Unknown}}}, Fail},
+		{"repeatable, never began", false, []WorkerState{{Known: true, Task: worker.Task{State: worker.Refused}}}, Cancel},
+		{"at most once, never began", true, []WorkerState{{Known: true, Task: worker.Task{State: worker.Refused}}}, Cancel},
 	} {
 		j := &Job{State: Stopping, Halt: &Halt{Cancel: true}}
 		j.Submission.AtMostOnce = c.atMostOnce
-		qt.Check(t, Judge(j, c.sights), qt.Equals, c.want, qt.Commentf(c.name))
+		qt.Check(t, NextStep(j, c.sights), qt.Equals, c.want, qt.Commentf(c.name))
 	}
 }
--- a/internal/settlement/record.go
+++ b/internal/settlement/record.go
@@ -41,14 +41,14 @@
 	return request.Reply{ID: r.ID, Outcome: r.Outcome, Answer: r.Answer, Reason: r.Reason, Attempt: r.Attempt}
 }
 
-// ErrStep is returned for a transition that the state of the row does not allow.
-var ErrStep = errors.New("settlement: the state of the row does not allow this transition")
+// ErrTransition is returned for a transition that the state of the row does not allow.
+var ErrTransition = errors.New("settlement: the state of the row does not allow this transition")
 
-// Settle returns the record with an outcome, or ErrStep if it has a final one, which is never replaced. An
+// Settle returns the record with an outcome, or ErrTransition if it has a final one, which is never replaced. An
 // unresolved record may still get a final outcome.
 func (r Record) Settle(outcome request.Outcome, answer json.RawMessage, reason string) (Record, error) {
 	if r.Outcome.Final() {
-		return r, errors.Wrapf(ErrStep, "%s is final", r.Outcome)
+		return r, errors.Wrapf(ErrTransition, "%s is final", r.Outcome)
 	}
 	r.Outcome = outcome
 	r.Answer = answer
@@ -75,8 +75,8 @@
 	Stopping State = "stopping" // The attempt must stop; this row is the command to do so.
 )
 
-// Seat is the part of an attempt that one worker runs.
-type Seat struct {
+// Placement is the part of an attempt that one worker runs.
+type Placement struct {
 	Worker  string `json:"worker"`
 	Members []int  `json:"members"` // Indexes of the gang's members.
 	Devices []int  `json:"devices"` // Indexes of the worker's devices.
@@ -101,7 +101,7 @@
 	Number     int                `json:"number"`            // Number of the latest attempt, from 1.
 	Attempt    string             `json:"attempt,omitempty"` // Unique name of the attempt.
 	Rack       string             `json:"rack,omitempty"`
-	Seats      []Seat             `json:"seats,omitempty"`
+	Placements []Placement        `json:"seats,omitempty"`
 	Started    time.Time          `json:"started,omitzero"`
 	Done       float64            `json:"done,omitempty"`        // Seconds of work in the checkpoint.
 	Stops      int                `json:"stops,omitempty"`       // Stops without a lost member, as by preemption.
@@ -131,42 +131,42 @@
 	Attempts []string `json:"attempts"` // The attempts that hold devices in the rack.
 }
 
-// Place returns the job in state Starting with a new attempt, or ErrStep if the job is not waiting.
-func (j Job) Place(attempt, rack string, placements []Seat, now time.Time) (Job, error) {
+// Place returns the job in state Starting with a new attempt, or ErrTransition if the job is not waiting.
+func (j Job) Place(attempt, rack string, placements []Placement, now time.Time) (Job, error) {
 	if j.State != Waiting {
-		return j, errors.Wrapf(ErrStep, "%s is not waiting", j.State)
+		return j, errors.Wrapf(ErrTransition, "%s is not waiting", j.State)
 	}
 	j.State = Starting
 	j.Number++
 	j.Attempt = attempt
 	j.Rack = rack
-	j.Seats = placements
+	j.Placements = placements
 	j.Started = now
 	return j, nil
 }
 
-// Stop returns the job in state Stopping, or ErrStep if it has no attempt or already stops. A job that already
+// Stop returns the job in state Stopping, or ErrTransition if it has no attempt or already stops. A job that already
 // stops may still be cancelled.
 func (j Job) Stop(halt Halt) (Job, error) {
 	switch j.State {
 	case Starting:
 	case Stopping:
 		if !halt.Cancel || j.Halt.Cancel {
-			return j, errors.Wrap(ErrStep, "it already stops")
+			return j, errors.Wrap(ErrTransition, "it already stops")
 		}
 	default:
-		return j, errors.Wrapf(ErrStep, "%s has no attempt", j.State)
+		return j, errors.Wrapf(ErrTransition, "%s has no attempt", j.State)
 	}
 	j.State = Stopping
 	j.Halt = &halt
 	return j, nil
 }
 
-// Requeue returns the job in state Waiting after its attempt has certainly ended, or ErrStep if it already waits.
+// Requeue returns the job in state Waiting after its attempt has certainly ended, or ErrTransition if it already waits.
 // done is the work in the checkpoint in seconds; ran reports whether any member of the attempt ran.
 func (j Job) Requeue(done float64, ran bool) (Job, error) {
 	if j.State == Waiting {
-		return j, errors.Wrap(ErrStep, "it already waits")
+		return j, errors.Wrap(ErrTransition, "it already waits")
 	}
 	if j.Halt != nil && !j.Halt.Lost {
 		j.Stops++
@@ -174,15 +174,15 @@
 	j.State = Waiting
 	j.Ran = j.Ran || ran
 	j.Done = max(j.Done, done)
-	j.Attempt, j.Rack, j.Seats, j.Halt = "", "", nil, nil
+	j.Attempt, j.Rack, j.Placements, j.Halt = "", "", nil, nil
 	j.Started = time.Time{}
 	j.Unsettled = false
 	return j, nil
 }
 
-// Unrun returns the outcome of a job that is settled while it waits: not_run if no attempt ever ran,
+// OutcomeWhileWaiting returns the outcome of a job that is settled while it waits: not_run if no attempt ever ran,
 // otherwise failed.
-func (j *Job) Unrun() request.Outcome {
+func (j *Job) OutcomeWhileWaiting() request.Outcome {
 	if j.Ran {
 		return request.Failed
 	}
--- a/internal/settlement/rows_test.go
+++ b/internal/settlement/rows_test.go
@@ -38,7 +38,7 @@
 		},
 		JobKey("h", id): Job{
 			Identity: id, Submission: submission, Round: 1, Received: at, Box: "b", State: Stopping, Number: 2, Attempt: "a",
-			Rack: "r", Seats: []Seat{{Worker: "w", Members: []int{0, 1}, Devices: []int{2, 3}}}, Started: at, Done: 1.5, Stops: 3,
+			Rack: "r", Placements: []Placement{{Worker: "w", Members: []int{0, 1}, Devices: []int{2, 3}}}, Started: at, Done: 1.5, Stops: 3,
 			Moves: 4, Failures: []string{"w"}, Losses: 5, LateLosses: 6, Ran: true,
 			Halt: &Halt{Reason: "r", AtOnce: true, Cancel: true, Lost: true}, Unsettled: true,
 		},
--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -104,9 +104,9 @@
 	return answer, ctx.Err()
 }
 
-// Blank makes an executor lose the records of all its calls, as when its process is replaced behind the same address.
+// LoseRecords makes an executor lose the records of all its calls, as when its process is replaced behind the same address.
 // Running calls continue.
-func (s *Executors) Blank(name string) {
+func (s *Executors) LoseRecords(name string) {
 	e := s.executor(name)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -43,7 +43,7 @@
 	defer o.mu.Unlock()
 	raw, ok := o.objects[key]
 	if !ok {
-		return nil, object.ErrAbsent
+		return nil, object.ErrNotFound
 	}
 	return raw, nil
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -169,7 +169,7 @@
 func (p *Platform) getObject(w http.ResponseWriter, r *http.Request) {
 	raw, err := p.Objects.Get(r.Context(), chi.URLParam(r, "*"))
 	switch {
-	case errors.Is(err, object.ErrAbsent):
+	case errors.Is(err, object.ErrNotFound):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -300,16 +300,16 @@
 
 // Records contains what the stand-ins recorded about the work that they ran.
 type Records struct {
-	Runs      []Run         `json:"runs"`   // By workers.
-	Broken    []string      `json:"broken"` // Attempts that lost a worker between its go command and their beginning.
-	Served    []ServedCall  `json:"served"` // By executors.
-	Table     TableStats    `json:"table"`
-	Executors ExecutorStats `json:"executors"`
+	Runs            []Run         `json:"runs"`   // By workers.
+	LostBeforeBegin []string      `json:"broken"` // Attempts that lost a worker between its go command and their beginning.
+	Served          []ServedCall  `json:"served"` // By executors.
+	Table           TableStats    `json:"table"`
+	Executors       ExecutorStats `json:"executors"`
 }
 
 // Records returns the current records of all stand-ins.
 func (p *Platform) Records() Records {
-	return Records{Runs: p.Workers.Runs(), Broken: p.Workers.LostBeforeBegin(), Served: p.Executors.Runs(), Table: p.Table.Stats(), Executors: p.Executors.Stats()}
+	return Records{Runs: p.Workers.Runs(), LostBeforeBegin: p.Workers.LostBeforeBegin(), Served: p.Executors.Runs(), Table: p.Table.Stats(), Executors: p.Executors.Stats()}
 }
 
 func (p *Platform) records(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -52,17 +52,17 @@
 // Workers implements all workers of a site in memory.
 type Workers struct {
 	Faults *FaultInjector
-	// Lax disables safety checks of the workers, to verify that tests detect the violations.
-	Lax Laxity
+	// Disabled disables safety checks of the workers, to verify that tests detect the violations.
+	Disabled DisabledChecks
 
 	mu      sync.Mutex
 	workers map[string]*workerState
 }
 
-// Laxity selects safety checks of the workers to disable.
-type Laxity struct {
-	LapsedHolds bool // An attempt may start after its hold has expired.
-	ForgetStops bool // An attempt may start after it was stopped.
+// DisabledChecks selects safety checks of the workers to disable.
+type DisabledChecks struct {
+	HoldExpiry bool // An attempt may start after its hold has expired.
+	StopFence  bool // An attempt may start after it was stopped.
 }
 
 // workerState is the state of one worker: its tasks, the devices they hold and the attempts that must never run.
@@ -167,7 +167,7 @@
 		return
 	}
 	stopped := ws.fenced[t.Attempt]
-	if stopped && s.Lax.ForgetStops || !stopped && s.Lax.LapsedHolds {
+	if stopped && s.Disabled.StopFence || !stopped && s.Disabled.HoldExpiry {
 		t.state = worker.Armed
 		t.leaseEnd = now.Add(time.Hour)
 	}
@@ -256,9 +256,9 @@
 	return nil, errors.New("standin: the worker can't be reached")
 }
 
-// Blank makes a worker lose the records of all its tasks, as when its worker process is replaced. Running tasks
+// LoseRecords makes a worker lose the records of all its tasks, as when its worker process is replaced. Running tasks
 // continue until they finish or their lease expires.
-func (s *Workers) Blank(name string) {
+func (s *Workers) LoseRecords(name string) {
 	ws := s.worker(name)
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
--- a/internal/table/budget.go
+++ b/internal/table/budget.go
@@ -6,14 +6,14 @@
 	"golang.org/x/time/rate"
 )
 
-// Budgeted limits the rate at which a box reads the table. The Committer limits the commits.
-type Budgeted struct {
+// RateLimited limits the rate at which a box reads the table. The Committer limits the commits.
+type RateLimited struct {
 	Service
 	Reads *rate.Limiter // Calls of Read and Changes a second.
 }
 
 // Read implements Service.
-func (b *Budgeted) Read(ctx context.Context, keys []string) ([]Row, error) {
+func (b *RateLimited) Read(ctx context.Context, keys []string) ([]Row, error) {
 	if b.Reads.Wait(ctx) != nil {
 		return nil, ErrUnavailable
 	}
@@ -21,7 +21,7 @@
 }
 
 // Changes implements Service.
-func (b *Budgeted) Changes(ctx context.Context, prefix string, after int64, limit int) ([]Row, int64, error) {
+func (b *RateLimited) Changes(ctx context.Context, prefix string, after int64, limit int) ([]Row, int64, error) {
 	if b.Reads.Wait(ctx) != nil {
 		return nil, 0, ErrUnavailable
 	}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -79,5 +79,5 @@
 	return Write{Key: key, Value: raw}
 }
 
-// Drop returns a Write that deletes a row.
-func Drop(key string) Write { return Write{Key: key, Delete: true} }
+// Delete returns a Write that deletes a row.
+func Delete(key string) Write { return Write{Key: key, Delete: true} }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -62,9 +62,9 @@
 
 // Recorder keeps the latest events of a box in a ring buffer.
 type Recorder struct {
-	Clock Clock
-	Box   string
-	Most  int // Maximum number of events kept; 0 means 1000.
+	Clock     Clock
+	Box       string
+	MaxEvents int // Maximum number of events kept; 0 means 1000.
 
 	mu     sync.Mutex
 	events []Event
@@ -78,7 +78,7 @@
 func (r *Recorder) Add(e Event) {
 	e.Box = r.Box
 	e.Stamp = r.Clock.Now()
-	limit := r.Most
+	limit := r.MaxEvents
 	if limit == 0 {
 		limit = defaultMaxEvents
 	}
--- a/internal/trial/hall.go
+++ b/internal/trial/hall.go
@@ -46,7 +46,7 @@
 	arriving         []*job
 	waiting          []*job
 	running          []*gang
-	rackReservations []decider.SetAside
+	rackReservations []decider.RackReservation
 	result           Result
 	guaranteedSince  map[string]float64 // Second at which a guaranteed job that still waits arrived, by its key.
 }
@@ -114,7 +114,7 @@
 // canEverRun reports whether the empty hall could run a job. A box checks the same before it accepts a job.
 func (h *hall) canEverRun(j *job) bool {
 	for _, r := range h.site.Halls[0].Racks {
-		if r.GangFits(j.Gang, j.Shape) && (j.Lendable() || h.layout.HoldsFirmly(r, j.Workspace, j.Gang, j.Shape)) {
+		if r.GangFits(j.Gang, j.Shape) && (j.MayBorrow() || h.layout.FitsUnreclaimable(r, j.Workspace, j.Gang, j.Shape)) {
 			return true
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 	stoppable, blocks := 0, 0
 	count := func(k *job) {
-		if !k.Lendable() {
+		if !k.MayBorrow() {
 			blocks += (k.Accelerators() + w.BlockAccelerators - 1) / w.BlockAccelerators
 		} else {
 			stoppable += k.Accelerators()
@@ -207,7 +207,7 @@
 		failed[w.Name] = h.lostWorkers[k]
 	}
 	for _, g := range h.running {
-		if g.Lendable() {
+		if g.MayBorrow() {
 			continue
 		}
 		for _, m := range g.members {
@@ -216,7 +216,7 @@
 			protected[name] += max(0, m.Count*g.Shape.Accelerators-own)
 		}
 	}
-	h.layout, _ = pledge.Plan(h.site, &pledge.Condition{Failed: failed, Protected: protected})
+	h.layout, _ = pledge.Plan(h.site, &pledge.Constraints{Failed: failed, Protected: protected})
 }
 
 // removeGang removes a running gang and frees its devices.
@@ -256,14 +256,14 @@
 		delete(h.guaranteedSince, g.Key)
 		return
 	}
-	h.health.Failed(h.workers[worker].Name, g.Key, timeOf(h.now))
+	h.health.RecordFailure(h.workers[worker].Name, g.Key, timeOf(h.now))
 	g.FailedOn = h.health.FailedOn(g.Key)
 	h.waiting = append(h.waiting, g.job)
 }
 
 func (h *hall) completeGang(g *gang) {
 	for _, m := range g.members {
-		h.health.Succeeded(h.workers[m.Worker].Name, g.Key)
+		h.health.RecordSuccess(h.workers[m.Worker].Name, g.Key)
 	}
 	h.estimates.Observe(g.Workspace, g.Kind, g.DeclaredSeconds, g.seconds)
 	h.result.complete(g)
@@ -281,7 +281,7 @@
 	}
 	v := h.view()
 	outcome := h.policy.Decide(v)
-	h.rackReservations = outcome.SetAsides
+	h.rackReservations = outcome.RackReservations
 	byKey := make(map[string]*job, len(h.waiting))
 	for _, j := range h.waiting {
 		byKey[j.Key] = j
@@ -294,7 +294,7 @@
 		case decider.Start:
 			removed[d.Job] = true
 			h.startJob(byKey[d.Job], d.Members)
-		case decider.GiveUp:
+		case decider.Fail:
 			removed[d.Job] = true
 			h.failJob(byKey[d.Job])
 		}
@@ -305,7 +305,7 @@
 func (h *hall) view() *decider.View {
 	v := &decider.View{
 		Now: timeOf(h.now), Site: h.site, Racks: h.racks, Workers: h.workers, Layout: h.layout,
-		SetAsides: h.rackReservations, Estimates: &h.estimates,
+		RackReservations: h.rackReservations, Estimates: &h.estimates,
 	}
 	for k := range h.workers {
 		usable, probe := h.health.Standing(h.workers[k].Name, v.Now)
@@ -335,7 +335,7 @@
 		if g.Key != d.Job || g.stopping {
 			continue
 		}
-		if !g.Lendable() {
+		if !g.MayBorrow() {
 			h.result.recordBroken("stopped a job that may neither be cut nor repeated: " + g.Key)
 		}
 		g.stopping, g.fails = true, false
--- a/internal/upstream/router.go
+++ b/internal/upstream/router.go
@@ -70,10 +70,10 @@
 // share returns the number of calls that this box may have in flight at a target: its share of the connections.
 func (r *Router) share(t *target) int { return max(1, t.Connections/r.boxes) }
 
-// Pick selects an upstream other than the one named excluded and counts a call in flight there, which Done ends. It
+// Acquire selects an upstream other than the one named excluded and counts a call in flight there, which Done ends. It
 // prefers upstreams in this box's hall; of two chosen at random it takes the one with fewer calls in flight. It
 // returns false if every upstream is full, drained or ejected.
-func (r *Router) Pick(excluded string) (contract.Upstream, bool) {
+func (r *Router) Acquire(excluded string) (contract.Upstream, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -117,8 +117,8 @@
 	return !now.Before(t.ejectedUntil) && t.inFlight == 0
 }
 
-// Done ends a call counted by Pick and records whether the upstream served it.
-func (r *Router) Done(name string, served bool) {
+// Release ends a call counted by Pick and records whether the upstream served it.
+func (r *Router) Release(name string, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.byName[name]
@@ -154,15 +154,15 @@
 	t.ejectedUntil = time.Now().Add(t.ejectionTime/2 + rand.N(t.ejectionTime))
 }
 
-// First records a first try, which adds RetryShare to the available retries.
-func (r *Router) First() {
+// RecordFirstTry records a first try, which adds RetryShare to the available retries.
+func (r *Router) RecordFirstTry() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.availableRetries = min(r.availableRetries+r.RetryShare, maxAvailableRetries)
 }
 
-// Retry takes one retry from the budget and reports whether one was available.
-func (r *Router) Retry() bool {
+// TakeRetry takes one retry from the budget and reports whether one was available.
+func (r *Router) TakeRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.availableRetries < 1 {
