--- a/internal/decider/view.go
+++ b/internal/decider/view.go
@@ -33,7 +33,8 @@
 // Accelerators returns the number of accelerators that the whole gang needs.
 func (j *Job) Accelerators() int { return j.Gang * j.Shape.Accelerators }
 
-// MayBorrow reports whether the job may run on borrowed devices: it may be run again, or it continues from a checkpoint.
+// MayBorrow reports whether the job may run on borrowed devices: it may be run again, or it continues from a
+// checkpoint.
 func (j *Job) MayBorrow() bool { return !j.AtMostOnce || j.Checkpoints }
 
 // Member places a number of a gang's members on one worker.
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -109,7 +109,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, errors.Errorf("identity: %s contains no certificate", file)
+		return nil, errors.Errorf("identity: %s holds no certificate", file)
 	}
 	return pool, nil
 }
--- a/internal/pledge/capacity.go
+++ b/internal/pledge/capacity.go
@@ -21,8 +21,8 @@
 	return contract.Shape{}
 }
 
-// FitsUnreclaimable reports whether an empty rack could fit a gang of a workspace on devices that cannot be reclaimed from
-// it: on each worker, either those pledged to the workspace or the unreserved ones.
+// FitsUnreclaimable reports whether an empty rack could fit a gang of a workspace on devices that cannot be
+// reclaimed from it: on each worker, either those pledged to the workspace or the unreserved ones.
 func (l Layout) FitsUnreclaimable(r contract.Rack, workspace string, gang int, shape contract.Shape) bool {
 	room := 0
 	for _, w := range r.Workers {
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -20,8 +20,8 @@
 // incarnation numbers its ends anew and must not get that number. A restart takes longer than forgetWindow.
 const forgetWindow = 250 * time.Millisecond
 
-// numberToForget returns the number up to which a worker should forget the ends that it has reported. It returns 0 if the
-// worker was already told, or if another incarnation of it might receive the number.
+// numberToForget returns the number up to which a worker should forget the ends that it has reported. It returns 0
+// if the worker was already told, or if another incarnation of it might receive the number.
 func (w *workerState) numberToForget() int64 {
 	if w.forgetSentUpTo >= w.acknowledged || w.failures > 0 || !w.isCertain() || time.Since(w.polledAt) > forgetWindow {
 		return 0
--- a/internal/settlement/rows_test.go
+++ b/internal/settlement/rows_test.go
@@ -14,8 +14,8 @@
 	"github.com/pulleyring/pulleyring/pkg/request"
 )
 
-// TestStoredRowsKeepTheirBytes fails when a change of the code alters stored rows, as a renamed field can. Each value must
-// be encoded as in testdata/rows.txt (key, space, JSON), and the JSON there be decoded as the value.
+// TestStoredRowsKeepTheirBytes fails when a change of the code alters stored rows, as a renamed field can. Each
+// value must be encoded as in testdata/rows.txt (key, space, JSON), and the JSON there be decoded as the value.
 func TestStoredRowsKeepTheirBytes(t *testing.T) {
 	id := request.Identity{Caller: "c", ID: "i"}
 	at := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -104,8 +104,8 @@
 	return answer, ctx.Err()
 }
 
-// LoseRecords makes an executor lose the records of all its calls, as when its process is replaced behind the same address.
-// Running calls continue.
+// LoseRecords makes an executor lose the records of all its calls, as when its process is replaced behind the same
+// address. Running calls continue.
 func (s *Executors) LoseRecords(name string) {
 	e := s.executor(name)
 	e.mu.Lock()
